--- a/bench/entry_tables.py
+++ b/bench/entry_tables.py
@@ -14,7 +14,7 @@
 from endivesill.control.commands import run_command
 from endivesill.entry.identity import GenerationIds
 from endivesill.entry.index import ConfigurationIndex
-from endivesill.entry.ledger import entry_id, shard_of
+from endivesill.entry.ledger import make_ledger_id, shard_of
 from endivesill.keys import KeyRing, hash_key
 
 __all__ = ["main"]
@@ -113,7 +113,7 @@
 
 def claim_and_finish(state: State, number: int, kept: int) -> None:
     """Apply the two commands of one key."""
-    ledger_id = entry_id("o", "s", str(number))
+    ledger_id = make_ledger_id("o", "s", str(number))
     message = {"shard": shard_of(ledger_id, 1), "id": ledger_id, "attempt": "a"}
     claim = {
         **message,
--- a/bench/order_trials.py
+++ b/bench/order_trials.py
@@ -68,9 +68,9 @@
             try:
                 if await self.lease.acquire():
                     self.history.counts.take_overs += 1
-                    keeping = asyncio.ensure_future(self.lease.keep())
+                    keeping = asyncio.ensure_future(self.lease.renew_until_lost())
                     self.tasks.add(keeping)
-                    await self.orderer.settle_pending()
+                    await self.orderer.resolve_pending()
                     await keeping
             except errors.EndivesillError:
                 pass
@@ -81,7 +81,7 @@
 
     async def try_to_give(self, request: OrderRequest) -> None:
         try:
-            await self.orderer.give(request)
+            await self.orderer.issue(request)
         except errors.EndivesillError:
             return
 
--- a/endivesill/entry/claims.py
+++ b/endivesill/entry/claims.py
@@ -16,7 +16,7 @@
 from endivesill.control import ControlClient
 from endivesill.entry.background import Background
 from endivesill.entry.events import CLAIM_ANSWERED, CLAIM_UNRECORDED
-from endivesill.entry.ledger import entry_id, shard_of
+from endivesill.entry.ledger import make_ledger_id, shard_of
 from endivesill.entry.settings import EntrySettings
 from endivesill.peers import Message
 from endivesill.timer import TimerService
@@ -150,7 +150,7 @@
             has not run.
         """
         check_key(key)
-        ledger_id = entry_id(organisation.name, service.name, key)
+        ledger_id = make_ledger_id(organisation.name, service.name, key)
         attempt = uuid.uuid4().hex
         shards = self._settings.ledger_shards
         message = {
--- a/endivesill/entry/ledger.py
+++ b/endivesill/entry/ledger.py
@@ -14,14 +14,14 @@
 from endivesill.control import CommandContext, State, command, query
 from endivesill.peers import Message
 
-__all__ = ["entry_id", "read", "shard_of"]
+__all__ = ["make_ledger_id", "read", "shard_of"]
 
 ID_DIGITS = 40
 
 Section = dict[str, Any]
 
 
-def entry_id(organisation: str, service: str, key: str) -> str:
+def make_ledger_id(organisation: str, service: str, key: str) -> str:
     """Return the ledger id of an organisation's key for a service."""
     text = f"{len(organisation)}:{organisation}{len(service)}:{service}{key}"
     return hashlib.sha256(text.encode()).hexdigest()[:ID_DIGITS]
--- a/endivesill/orders/lease.py
+++ b/endivesill/orders/lease.py
@@ -103,7 +103,7 @@
         self._expires_s = max(self._expires_s, started_s + self._lease_s)
         return self._check("renewed too late")
 
-    async def keep(self) -> None:
+    async def renew_until_lost(self) -> None:
         """Renew until the lease is lost."""
         while self._check("expired"):
             await self._timer.sleep(self._lease_s / RENEWALS_PER_LEASE)
--- a/endivesill/orders/orderer.py
+++ b/endivesill/orders/orderer.py
@@ -92,7 +92,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def give(self, request: OrderRequest) -> OrderRecord:
+    async def issue(self, request: OrderRequest) -> OrderRecord:
         """Give an order, or return the first answer to its id.
 
         Raises:
@@ -104,7 +104,7 @@
         self._target(request)
         task = self._running.get(request.order_id)
         if task is None:
-            task = asyncio.ensure_future(self._give(request))
+            task = asyncio.ensure_future(self._issue(request))
             self._running[request.order_id] = task
             task.add_done_callback(lambda _: self._running.pop(request.order_id))
         record = await asyncio.shield(task)
@@ -112,7 +112,7 @@
             raise errors.OrderError(f"order {request.order_id} is another one")
         return record
 
-    async def settle_pending(self) -> None:
+    async def resolve_pending(self) -> None:
         """Find out what became of the orders of the orderer before."""
         answer = await self._control.query(
             "orders.pending",
@@ -120,7 +120,7 @@
             PROPOSE_TIMEOUT_S,
         )
         records = [OrderRecord.from_message(row) for row in answer["records"]]
-        await asyncio.gather(*(self._settle(record) for record in records))
+        await asyncio.gather(*(self._resolve(record) for record in records))
 
     def _target(self, request: OrderRequest) -> Target:
         target = self._configuration().targets.get(request.target)
@@ -130,14 +130,14 @@
             )
         return target
 
-    async def _give(self, request: OrderRequest) -> OrderRecord:
+    async def _issue(self, request: OrderRequest) -> OrderRecord:
         lock = self._locks.setdefault(request.target, asyncio.Lock())
         async with lock:
             known = await self._put(request)
             if known is not None:
                 events.emit(ORDER_REPEATED, order_id=request.order_id)
                 if known.state is OrderState.SENT and known.request == request:
-                    return await self._settle(known)
+                    return await self._resolve(known)
                 return known
             return await self._send(request)
 
@@ -200,7 +200,7 @@
             request, await self._read_back(target, request, answered)
         )
 
-    async def _settle(self, record: OrderRecord) -> OrderRecord:
+    async def _resolve(self, record: OrderRecord) -> OrderRecord:
         """Learn the outcome of an order that was recorded and perhaps sent."""
         target = self._configuration().targets.get(record.request.target)
         state = OrderState.UNSEEN
--- a/endivesill/orders/service.py
+++ b/endivesill/orders/service.py
@@ -104,7 +104,7 @@
             return None
         return self._orderers.get(data_centre)
 
-    async def give(self, request: OrderRequest) -> OrderRecord:
+    async def issue(self, request: OrderRequest) -> OrderRecord:
         """Give an order, here or through the VM that is the orderer.
 
         Raises:
@@ -117,7 +117,7 @@
             raise errors.OrderError(f"no engine {request.target}")
         orderer = self.orderer(target.data_centre)
         if orderer is not None:
-            return await orderer.give(request)
+            return await orderer.issue(request)
         address = await self._orderer_address(target.data_centre)
         timeout_s = self._settings.read_back_s + FORWARD_MARGIN_S
         try:
@@ -147,7 +147,7 @@
         if orderer is None:
             return {"error": "this VM does not give the orders"}
         try:
-            return (await orderer.give(request)).to_message()
+            return (await orderer.issue(request)).to_message()
         except (errors.UnavailableError, errors.OrderError) as error:
             return {"error": str(error)}
 
@@ -174,9 +174,9 @@
         try:
             if not await lease.acquire():
                 return
-            keeping = asyncio.ensure_future(lease.keep())
+            keeping = asyncio.ensure_future(lease.renew_until_lost())
             try:
-                await self._orderers[data_centre].settle_pending()
+                await self._orderers[data_centre].resolve_pending()
                 while not keeping.done() and self._should_order(data_centre):
                     await self._kernel.timer.sleep(WATCH_PERIOD_S)
                 while not keeping.done() and not self._orderers[data_centre].is_idle():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,7 +20,7 @@
     StoredAnswer,
     request_digest,
 )
-from endivesill.entry.ledger import entry_id, shard_of
+from endivesill.entry.ledger import make_ledger_id, shard_of
 from endivesill.entry.settings import EntrySettings
 from endivesill.timer import ManualTimer
 
@@ -145,7 +145,7 @@
     def test_shards_are_even(self):
         counts = [0] * 4
         for number in range(4000):
-            counts[shard_of(entry_id("o", "s", str(number)), 4)] += 1
+            counts[shard_of(make_ledger_id("o", "s", str(number)), 4)] += 1
         self.assertLess(max(counts) - min(counts), 200)
 
     @settings(derandomize=True, deadline=None, max_examples=60)
--- a/tests/test_orders_lease.py
+++ b/tests/test_orders_lease.py
@@ -79,7 +79,7 @@
         self.assertEqual(0.0, self.one.remaining_s())
 
     async def test_lease_ends_when_there_is_no_quorum(self):
-        task = asyncio.ensure_future(self.one.keep())
+        task = asyncio.ensure_future(self.one.renew_until_lost())
         self.control.failure = errors.UnavailableError("no quorum")
         await self.timer.advance(LEASE_S + 0.1)
         self.assertEqual(0.0, self.one.remaining_s())
@@ -87,7 +87,7 @@
         self.assertTrue(task.done())
 
     async def test_kept_lease_lasts(self):
-        task = asyncio.ensure_future(self.one.keep())
+        task = asyncio.ensure_future(self.one.renew_until_lost())
         await self.timer.advance(20 * LEASE_S)
         self.assertGreater(self.one.remaining_s(), LEASE_S / 2)
         task.cancel()
--- a/tests/test_orders_orderer.py
+++ b/tests/test_orders_orderer.py
@@ -59,11 +59,11 @@
         return orderer
 
     def start(self, orderer, request):
-        return asyncio.ensure_future(orderer.give(request))
+        return asyncio.ensure_future(orderer.issue(request))
 
     async def finish(self, orderer, request, duration_s=60.0):
         task = self.start(orderer, request)
-        keeping = asyncio.ensure_future(orderer.lease.keep())
+        keeping = asyncio.ensure_future(orderer.lease.renew_until_lost())
         await self.timer.advance(duration_s)
         keeping.cancel()
         return task.result()
@@ -142,7 +142,7 @@
             task.cancel()
             await self.one.close()
         two = await self.orderer("two")
-        settling = asyncio.ensure_future(two.settle_pending())
+        settling = asyncio.ensure_future(two.resolve_pending())
         await self.timer.advance(5.0)
         self.assertTrue(settling.done())
         for target in ("fencing-0", "plain-0"):
@@ -158,8 +158,8 @@
         task.cancel()
         await self.one.close()
         two = await self.orderer("two")
-        settling = asyncio.ensure_future(two.settle_pending())
-        keeping = asyncio.ensure_future(two.lease.keep())
+        settling = asyncio.ensure_future(two.resolve_pending())
+        keeping = asyncio.ensure_future(two.lease.renew_until_lost())
         await self.timer.advance(25.0)
         self.assertTrue(settling.done())
         keeping.cancel()
@@ -209,7 +209,7 @@
         self.assertTrue(two.lease.remaining_s())
         await self.finish(two, role("o-new", target))
         with self.assertRaises(errors.UnavailableError):
-            await first.give(role("o-old", target, "decode"))
+            await first.issue(role("o-old", target, "decode"))
         self.assertEqual([("o-new", two.lease.token)], self.engines.runs())
 
     async def test_two_orderers_believing_at_once_at_an_engine_with_fencing(self):
--- a/tests/test_orders_placement.py
+++ b/tests/test_orders_placement.py
@@ -211,7 +211,7 @@
 
     async def give(self, name, order_id):
         request = OrderRequest(order_id, "plain-0", OrderKind.CHANGE_ROLE, "decode")
-        task = asyncio.ensure_future(self.services[name].give(request))
+        task = asyncio.ensure_future(self.services[name].issue(request))
         await self.timer.advance(5.0)
         return task.result()
 
