--- a/endivesill/entry/__init__.py
+++ b/endivesill/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: callers' requests, generations, streams and plain calls."""
+"""Entry node: the client-facing HTTP API for generations and plain services."""
 
 from endivesill.entry.application import EntryApplication
 
--- a/endivesill/entry/admission.py
+++ b/endivesill/entry/admission.py
@@ -1,4 +1,4 @@
-"""The bound on an organisation's requests at one entry."""
+"""Admission control: per-organisation concurrency limit at one entry."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class Admission:
-    """Counts the requests that run for each organisation."""
+    """Limits the number of in-flight requests per organisation."""
 
     def __init__(self) -> None:
         self._running: dict[str, int] = {}
 
     def running(self, name: str) -> int:
-        """Return how many requests of an organisation run."""
+        """Return the number of in-flight requests of an organisation."""
         return self._running.get(name, 0)
 
     @contextmanager
     def admit(self, organisation: Organisation) -> Iterator[None]:
-        """Count a request while it runs.
+        """Admit a request and count it as in flight until the context exits.
 
         Raises:
-          RefusedError: too many run already (429); this one has not run.
+          RefusedError: the organisation is at its limit (429); not run.
         """
         name = organisation.name
         running = self._running.get(name, 0)
@@ -40,8 +40,8 @@
         try:
             yield
         finally:
-            left = self._running[name] - 1
-            if left:
-                self._running[name] = left
+            remaining = self._running[name] - 1
+            if remaining:
+                self._running[name] = remaining
             else:
                 del self._running[name]
--- a/endivesill/entry/application.py
+++ b/endivesill/entry/application.py
@@ -1,4 +1,4 @@
-"""The callers' port: an ASGI application."""
+"""ASGI application of the client-facing port."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 from endivesill import errors, events
 from endivesill.configuration.model import Limits, Organisation
+from endivesill.entry.buffered import respond_buffered
 from endivesill.entry.calls import parse_generation_call
 from endivesill.entry.context import EntryContext
 from endivesill.entry.events import (
@@ -19,31 +20,30 @@
     REQUEST_REFUSED,
 )
 from endivesill.entry.generations import Generation
-from endivesill.entry.http import Answer, AsgiRequest, Receive, Scope, Send
+from endivesill.entry.http import AsgiRequest, Receive, Response, Scope, Send
 from endivesill.entry.identity import parse_event_id
-from endivesill.entry.plain import answer_plain
+from endivesill.entry.plain import handle_plain_call
 from endivesill.entry.plain_request import parse_plain_request
 from endivesill.entry.reconnect import reconnect
 from endivesill.entry.relay import Relay
 from endivesill.entry.streaming import stream_generation
 from endivesill.entry.table import RelayTable
-from endivesill.entry.whole import answer_whole
 from endivesill.routing import RouteRequest
 
 __all__ = ["EntryApplication"]
 
 GENERATION_PATHS = ("/v1/completions", "/v1/chat/completions")
-MOVE_WAIT_S = 1.0
+MOVE_GRANT_TIMEOUT_S = 1.0
 LAST_EVENT_HEADER = "last-event-id"
 
 _log = logging.getLogger(__name__)
 
 
 class EntryApplication:
-    """Takes callers' requests, routes them and streams the answers.
+    """Authenticates, routes and answers client requests.
 
     Args:
-      context: what the entry's parts share.
+      context: services shared by the modules of the entry.
     """
 
     def __init__(self, context: EntryContext) -> None:
@@ -54,57 +54,59 @@
         self.running = 0
         metrics = context.metrics
         metrics.gauge("entry_running", lambda: self.running)
-        metrics.gauge("entry_kept_generations", lambda: self.table.kept_count())
+        metrics.gauge("entry_kept_generations", lambda: self.table.retained_count())
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one HTTP request."""
+        """Handle one ASGI scope; scopes other than HTTP are ignored."""
         if scope["type"] != "http":
             return
         request = AsgiRequest(scope, receive)
-        is_last = self._context.is_draining()
-        answer = Answer(scope, send, uuid.uuid4().hex, is_last)
+        closes_connection = self._context.is_draining()
+        response = Response(scope, send, uuid.uuid4().hex, closes_connection)
         if request.path.startswith("/health/"):
-            await self._health(request, answer)
+            await self._health(request, response)
             return
         self.running += 1
         try:
-            outcome = await self._conclude(request, answer)
+            outcome = await self._respond(request, response)
             self._context.metrics.counter("entry_requests", outcome=outcome).add()
         finally:
             self.running -= 1
 
-    async def _conclude(self, request: AsgiRequest, answer: Answer) -> str:
-        """Answer a request; return how it ended, for the metrics."""
+    async def _respond(self, request: AsgiRequest, response: Response) -> str:
+        """Handle a request and return its outcome as a metric label."""
         try:
-            await self._answer(request, answer)
-            self._note_end(request, answer)
+            await self._handle(request, response)
+            self._log_end(request, response)
             return "answered"
         except errors.CallerGoneError as error:
-            events.emit(CALLER_GONE, request_id=answer.request_id)
-            await answer.problem(error)
+            events.emit(CALLER_GONE, request_id=response.request_id)
+            await response.send_problem(error)
             return "caller-gone"
         except errors.EndivesillError as error:
-            self._note_refusal(request, answer, error)
-            await answer.problem(error)
+            self._log_refusal(request, response, error)
+            await response.send_problem(error)
             return "refused"
         except Exception as error:
-            events.emit(REQUEST_FAILED, request_id=answer.request_id, error=repr(error))
-            _log.exception("request %s failed", answer.request_id)
-            await answer.problem(error)
+            events.emit(
+                REQUEST_FAILED, request_id=response.request_id, error=repr(error)
+            )
+            _log.exception("request %s failed", response.request_id)
+            await response.send_problem(error)
             return "failed"
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send new callers."""
+        """Return whether the load balancer may send new clients here."""
         return self._context.source.holds_lease() and not self._context.is_draining()
 
-    async def _health(self, request: AsgiRequest, answer: Answer) -> None:
+    async def _health(self, request: AsgiRequest, response: Response) -> None:
         healthy = request.path == "/health/live" or (
             request.path == "/health/ready" and self.is_ready()
         )
-        await answer.whole(200 if healthy else 503, [], b"")
+        await response.send_complete(200 if healthy else 503, [], b"")
 
-    async def _answer(self, request: AsgiRequest, answer: Answer) -> None:
-        self._context.check_accepts()
+    async def _handle(self, request: AsgiRequest, response: Response) -> None:
+        self._context.check_accepting()
         index = self._context.index.current()
         limits = index.configuration.limits
         request.check_header_size(limits.header_bytes)
@@ -112,18 +114,18 @@
         with self._context.admission.admit(organisation):
             events.emit(
                 REQUEST_RECEIVED,
-                request_id=answer.request_id,
+                request_id=response.request_id,
                 organisation=organisation.name,
                 method=request.method,
                 path=request.path,
             )
             if request.path in GENERATION_PATHS:
-                await self._generate(request, answer, organisation, limits)
+                await self._generate(request, response, organisation, limits)
                 return
             service = index.plain_service(request.path)
             body = await self._body(request, limits)
             call = parse_plain_request(request, service, organisation, body)
-            await answer_plain(self._context, answer, call)
+            await handle_plain_call(self._context, response, call)
 
     async def _body(self, request: AsgiRequest, limits: Limits) -> bytes:
         return await request.body(
@@ -133,7 +135,7 @@
     async def _generate(
         self,
         request: AsgiRequest,
-        answer: Answer,
+        response: Response,
         organisation: Organisation,
         limits: Limits,
     ) -> None:
@@ -145,25 +147,25 @@
         if last_event is not None:
             last = parse_event_id(last_event)
             await reconnect(
-                self._context, self.table, request, answer, organisation, last
+                self._context, self.table, request, response, organisation, last
             )
             return
         call = parse_generation_call(request.path, body)
-        service = self._context.index.current().model(call.model)
+        service = self._context.index.current().engine_service(call.model)
         generation = Generation(
-            self._context, self.table, call, service, organisation, answer.request_id
+            self._context, self.table, call, service, organisation, response.request_id
         )
         if call.streamed:
-            await stream_generation(self._context, request, answer, generation)
+            await stream_generation(self._context, request, response, generation)
         else:
-            await answer_whole(request, answer, generation)
+            await respond_buffered(request, response, generation)
 
     async def move_generations(self, target_name: str) -> None:
-        """Let an engine that goes away soon hand its generations to others.
+        """Migrate the running generations of a departing engine to other engines.
 
-        Those that it cannot hand over stay and finish there if they can.
+        Generations that cannot be migrated keep running on the departing engine.
         """
-        relays = self.table.running_at(target_name)
+        relays = self.table.relays_at(target_name)
         await asyncio.gather(*(self._move(relay) for relay in relays))
 
     async def _move(self, relay: Relay) -> None:
@@ -175,7 +177,7 @@
             prompt_tokens=request.prompt_tokens + relay.next_index,
             maximum_output_tokens=request.maximum_output_tokens,
             priority=request.priority,
-            deadline_s=self._context.timer.now_s() + MOVE_WAIT_S,
+            deadline_s=self._context.timer.now_s() + MOVE_GRANT_TIMEOUT_S,
             excluded=frozenset((relay.target.name,)),
         )
         try:
@@ -189,21 +191,21 @@
                 error=str(error),
             )
 
-    def _note_end(self, request: AsgiRequest, answer: Answer) -> None:
+    def _log_end(self, request: AsgiRequest, response: Response) -> None:
         events.emit(
             REQUEST_ENDED,
-            request_id=answer.request_id,
+            request_id=response.request_id,
             path=request.path,
-            status=answer.status,
+            status=response.status,
         )
 
-    def _note_refusal(
-        self, request: AsgiRequest, answer: Answer, error: errors.EndivesillError
+    def _log_refusal(
+        self, request: AsgiRequest, response: Response, error: errors.EndivesillError
     ) -> None:
         run = getattr(error, "run", errors.RunState.NOT_RUN)
         events.emit(
             REQUEST_REFUSED,
-            request_id=answer.request_id,
+            request_id=response.request_id,
             path=request.path,
             error=str(error),
             run=run.value,
--- a/endivesill/entry/attempts.py
+++ b/endivesill/entry/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: what has failed, may have run, and may follow."""
+"""Attempts of one request: routing, retries and what is known of their execution."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class Attempts:
-    """Asks for grants and decides whether a failed attempt is made again.
+    """Acquires grants and decides whether a failed attempt is retried.
 
     Args:
-      context: what the entry shares.
+      context: services shared by the modules of the entry.
       service: the service of the request.
-      organisation: who asks.
-      request_id: the request.
+      organisation: the organisation of the caller.
+      request_id: the id of the request.
 
     Attributes:
-      deadline_s: when the first byte must have come, on the timer's clock.
-      run: what is known over all attempts.
+      deadline_s: deadline of the first response byte, on the timer's clock.
+      run: UNKNOWN once any attempt may have run, else NOT_RUN.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         prefix: tuple[str, ...] = (),
         maximum_output_tokens: int = 0,
     ) -> Grant:
-        """Return leave for the next attempt.
+        """Return a grant for the next attempt.
 
         Raises:
-          RefusedError: there is none; `run` takes earlier attempts into account.
+          RefusedError: no grant; its `run` also covers earlier attempts.
         """
         route = RouteRequest(
             request_id=self._request_id,
@@ -75,19 +75,19 @@
             raise
 
     def final_error(self, error: errors.TargetError) -> errors.EndivesillError:
-        """Return what the caller is told if no attempt follows a failed one."""
-        self._note(error)
+        """Return the error for the caller when a failed attempt is not retried."""
+        self._update_run_state(error)
         if self.run is errors.RunState.UNKNOWN:
             return errors.TargetError(str(error))
-        return errors.RefusedError(_reason(error), retry_after_s=RETRY_AFTER_S)
+        return errors.RefusedError(_refusal_reason(error), retry_after_s=RETRY_AFTER_S)
 
     async def back_off(self, grant: Grant, error: errors.TargetError) -> None:
-        """Wait after a failed attempt until the next one may be made.
+        """Sleep for the backoff before the next attempt.
 
         Raises:
-          EndivesillError: none may follow.
+          EndivesillError: the deadline or the retry budget allows no retry.
         """
-        self._note(error)
+        self._update_run_state(error)
         self._failures += 1
         wait_s = self._context.budget.retry_after_s(
             self._service.name, self._organisation.name, self._failures
@@ -110,15 +110,15 @@
         await self._context.timer.sleep(wait_s)
 
     def succeeded(self) -> None:
-        """Tell the retry budget that the request was answered."""
+        """Credit the retry budget with an answered request."""
         self._context.budget.succeeded(self._service.name, self._organisation.name)
 
-    def _note(self, error: errors.TargetError) -> None:
+    def _update_run_state(self, error: errors.TargetError) -> None:
         if error.run is errors.RunState.UNKNOWN:
             self.run = errors.RunState.UNKNOWN
 
 
-def _reason(error: errors.TargetError) -> str:
+def _refusal_reason(error: errors.TargetError) -> str:
     if isinstance(error, errors.GrantExpiredError):
         return "grant-expired"
     if isinstance(error, errors.TargetUnreachableError):
--- a/endivesill/entry/background.py
+++ b/endivesill/entry/background.py
@@ -1,4 +1,4 @@
-"""Small tasks that outlive the request that began them."""
+"""Background tasks that outlive the request that started them."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Coroutine
 from typing import Any
 
-__all__ = ["Background"]
+__all__ = ["BackgroundTasks"]
 
 
-class Background:
-    """Holds tasks until they have ended."""
+class BackgroundTasks:
+    """Keeps references to running tasks until they complete."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run some work on its own."""
+        """Start a coroutine as a task; its exceptions are not propagated."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def finish(self) -> None:
-        """Wait until all work has ended."""
+    async def wait_all(self) -> None:
+        """Wait until all tasks are done, including those started meanwhile."""
         while self._tasks:
             await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/endivesill/entry/budget.py
+++ b/endivesill/entry/budget.py
@@ -1,4 +1,4 @@
-"""How often a failed attempt may be made again."""
+"""Retry budgets: limits and backoff of repeated attempts."""
 
 from __future__ import annotations
 
@@ -6,64 +6,64 @@
 
 __all__ = ["FixedRetryBudget", "RetryBudget", "SharedRetryBudget"]
 
-ATTEMPTS = 3
-BACKOFF_S = 0.05
+MAX_ATTEMPTS = 3
+INITIAL_BACKOFF_S = 0.05
 
 
 class RetryBudget:
-    """Base of the retry budgets."""
+    """Base class of the retry budgets."""
 
     def retry_after_s(
         self, service_name: str, organisation_name: str, attempt: int
     ) -> float | None:
-        """Return the backoff before another attempt, or None for none.
+        """Return the backoff before the next attempt, or None if it is not allowed.
 
         Args:
           service_name: the service of the request.
-          organisation_name: whose request it is.
-          attempt: how many attempts have failed, from 1.
+          organisation_name: the organisation of the caller.
+          attempt: the number of failed attempts so far, at least 1.
         """
         raise NotImplementedError
 
     def succeeded(self, service_name: str, organisation_name: str) -> None:
-        """Note a request that was answered."""
+        """Record an answered request."""
 
 
 class FixedRetryBudget(RetryBudget):
-    """A fixed number of attempts a request, with exponential backoff."""
+    """Allows a fixed number of attempts per request, with exponential backoff."""
 
     def retry_after_s(
         self, service_name: str, organisation_name: str, attempt: int
     ) -> float | None:
-        """Return the backoff before another attempt; see the base class."""
-        if attempt >= ATTEMPTS:
+        """Return the backoff before the next attempt; see the base class."""
+        if attempt >= MAX_ATTEMPTS:
             return None
-        return BACKOFF_S * 2 ** (attempt - 1)
+        return INITIAL_BACKOFF_S * 2 ** (attempt - 1)
 
 
 class Budgets(Protocol):
-    """Budgets of retries by service and organisation."""
+    """Retry budgets per service and organisation."""
 
     def succeeded(self, service: str, organisation: str) -> None:
-        """Count a success."""
+        """Credit the budget with an answered request."""
 
     def take(self, service: str, organisation: str) -> bool:
-        """Take one retry; False if there is none left."""
+        """Spend one retry; return False if the budget is exhausted."""
 
 
 class Delays(Protocol):
-    """Backoff of retries."""
+    """Backoff policy of retries."""
 
     def delay_s(self, attempt: int) -> float:
-        """Return how long to wait before a retry; the first has attempt 1."""
+        """Return the delay before a retry; the first retry has attempt 1."""
 
 
 class SharedRetryBudget(RetryBudget):
-    """Attempts that are bounded for each request and by a shared budget.
+    """Limits attempts per request and by a budget shared between requests.
 
     Args:
-      budgets: the budgets of the router.
-      delays: the backoff of the router.
+      budgets: the retry budgets of the router.
+      delays: the backoff policy.
     """
 
     def __init__(self, budgets: Budgets, delays: Delays) -> None:
@@ -73,13 +73,13 @@
     def retry_after_s(
         self, service_name: str, organisation_name: str, attempt: int
     ) -> float | None:
-        """Return the backoff before another attempt; see the base class."""
-        if attempt >= ATTEMPTS:
+        """Return the backoff before the next attempt; see the base class."""
+        if attempt >= MAX_ATTEMPTS:
             return None
         if not self._budgets.take(service_name, organisation_name):
             return None
         return self._delays.delay_s(attempt)
 
     def succeeded(self, service_name: str, organisation_name: str) -> None:
-        """Earn a share of a retry."""
+        """Credit the shared budget with a fraction of a retry."""
         self._budgets.succeeded(service_name, organisation_name)
--- a/endivesill/entry/whole.py
+++ b/endivesill/entry/buffered.py
@@ -1,4 +1,4 @@
-"""Whole answers: a generation's tokens joined into one document."""
+"""Buffered responses: all tokens of a generation in one JSON document."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from endivesill import errors
 from endivesill.entry.generations import Generation
-from endivesill.entry.http import Answer, AsgiRequest
+from endivesill.entry.http import AsgiRequest, Response
 from endivesill.entry.relay import Relay
 
-__all__ = ["answer_whole", "join_chunks"]
+__all__ = ["join_chunks", "respond_buffered"]
 
-LARGEST_ANSWER_BYTES = 64 << 20
+MAX_RESPONSE_BYTES = 64 << 20
 
 
-async def answer_whole(
-    request: AsgiRequest, answer: Answer, generation: Generation
+async def respond_buffered(
+    request: AsgiRequest, response: Response, generation: Generation
 ) -> None:
-    """Answer with a whole generation.
+    """Run a generation to its end and respond with one JSON document.
 
     Raises:
-      EndivesillError: it did not come to its end.
+      EndivesillError: the generation failed or its output is too large.
     """
     collected = bytearray()
     current: Relay | None = None
@@ -29,10 +29,10 @@
     async def deliver(relay: Relay, block: bytes) -> None:
         nonlocal current
         if relay is not current:
-            # An earlier attempt broke: its tokens are of another generation.
+            # A new relay is a new generation: discard the tokens of the old one.
             collected.clear()
             current = relay
-        if len(collected) + len(block) > LARGEST_ANSWER_BYTES:
+        if len(collected) + len(block) > MAX_RESPONSE_BYTES:
             raise errors.RefusedError(
                 "answer-too-large", run=errors.RunState.UNKNOWN, status=502
             )
@@ -46,16 +46,16 @@
             (b"content-type", b"application/json"),
             (b"x-generation-id", relay.generation_id.encode()),
         ]
-        await answer.whole(200, headers, json.dumps(document).encode())
+        await response.send_complete(200, headers, json.dumps(document).encode())
 
     await request.run_while_connected(work())
 
 
 def join_chunks(data: bytes, generation_id: str) -> dict[str, Any]:
-    """Return the completion document of a stream's events.
+    """Merge the events of a stream into one completion document.
 
     Raises:
-      TargetError: an event is not a chunk of a completion.
+      TargetError: an event is not a completion chunk.
     """
     try:
         choices = [
@@ -68,16 +68,16 @@
         reasons = [c["finish_reason"] for c in choices if c.get("finish_reason")]
     except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
         raise errors.TargetError(f"not a completion chunk: {error!r}") from None
-    whole: dict[str, Any] = {"index": 0}
-    whole["finish_reason"] = reasons[-1] if reasons else None
+    merged: dict[str, Any] = {"index": 0}
+    merged["finish_reason"] = reasons[-1] if reasons else None
     if is_chat:
-        whole["message"] = {"role": "assistant", "content": text}
+        merged["message"] = {"role": "assistant", "content": text}
     else:
-        whole["text"] = text
+        merged["text"] = text
     return {
         "id": generation_id,
         "object": "chat.completion" if is_chat else "text_completion",
-        "choices": [whole],
+        "choices": [merged],
         "usage": {"completion_tokens": len(choices)},
     }
 
--- a/endivesill/entry/calls.py
+++ b/endivesill/entry/calls.py
@@ -1,4 +1,4 @@
-"""Check of a caller's request for a generation."""
+"""Parsing and validation of generation requests."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 __all__ = ["GenerationCall", "parse_generation_call"]
 
-LARGEST_OUTPUT_TOKENS = 10_000_000
+MAX_OUTPUT_TOKENS = 10_000_000
 
 
 @attrs.frozen
 class GenerationCall:
-    """A caller's checked request for a generation.
+    """A validated generation request.
 
     Attributes:
       path: `/v1/completions` or `/v1/chat/completions`.
-      model: the service's name.
-      streamed: whether the caller wants a stream.
-      body: the JSON body for the engine, with `stream` set.
-      prompt: the prompt as one text.
-      maximum_output_tokens: the caller's bound; 0 for none.
+      model: the name of the service.
+      streamed: whether the caller asked for a streamed response.
+      body: the JSON body for the engine, with `stream` set to true.
+      prompt: the prompt; chat messages are joined by newlines.
+      maximum_output_tokens: the caller's `max_tokens`; 0 for no limit.
     """
 
     path: str
@@ -37,27 +37,27 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """The estimated length of the prompt."""
+        """The length of the prompt in tokens, estimated from its characters."""
         return len(self.prompt) // CHARACTERS_PER_TOKEN + 1
 
 
 def parse_generation_call(path: str, body: bytes) -> GenerationCall:
-    """Check a request body.
+    """Parse and validate a request body.
 
     Raises:
-      RequestError: it names the field at fault (400).
+      RequestError: the body is invalid (400); the error names the field.
     """
     document = _parse_object(body)
-    model = _typed(document, "model", str, required=True)
-    streamed = _typed(document, "stream", bool) or False
-    bound = _typed(document, "max_tokens", int) or 0
-    if not 0 <= bound <= LARGEST_OUTPUT_TOKENS:
+    model = _typed_field(document, "model", str, required=True)
+    streamed = _typed_field(document, "stream", bool) or False
+    max_tokens = _typed_field(document, "max_tokens", int) or 0
+    if not 0 <= max_tokens <= MAX_OUTPUT_TOKENS:
         raise errors.RequestError(400, "max_tokens is out of bounds", "max_tokens")
     if "n" in document and document["n"] != 1:
         raise errors.RequestError(400, "only one choice is answered", "n")
     prompt = _chat_prompt(document) if "chat" in path else _prompt(document)
     engine_body = json.dumps({**document, "stream": True}).encode()
-    return GenerationCall(path, model, streamed, engine_body, prompt, bound)
+    return GenerationCall(path, model, streamed, engine_body, prompt, max_tokens)
 
 
 def _parse_object(body: bytes) -> dict[str, Any]:
@@ -74,7 +74,7 @@
     raise ValueError(f"{word} is not JSON")
 
 
-def _typed(
+def _typed_field(
     document: dict[str, Any], field: str, kind: type, *, required: bool = False
 ) -> Any:
     value = document.get(field)
@@ -88,11 +88,11 @@
 
 
 def _prompt(document: dict[str, Any]) -> str:
-    return _typed(document, "prompt", str, required=True)
+    return _typed_field(document, "prompt", str, required=True)
 
 
 def _chat_prompt(document: dict[str, Any]) -> str:
-    messages = _typed(document, "messages", list, required=True)
+    messages = _typed_field(document, "messages", list, required=True)
     if not messages:
         raise errors.RequestError(400, "messages is empty", "messages")
     parts = []
--- a/endivesill/entry/claims.py
+++ b/endivesill/entry/claims.py
@@ -1,4 +1,4 @@
-"""An entry's claims of idempotency keys in the replicated ledger."""
+"""Claims of idempotency keys in the replicated ledger."""
 
 from __future__ import annotations
 
@@ -14,25 +14,32 @@
 from endivesill import errors, events
 from endivesill.configuration.model import Limits, Organisation, Service
 from endivesill.control import ControlClient
-from endivesill.entry.background import Background
+from endivesill.entry.background import BackgroundTasks
 from endivesill.entry.events import CLAIM_ANSWERED, CLAIM_UNRECORDED
 from endivesill.entry.ledger import make_ledger_id, shard_of
 from endivesill.entry.settings import EntrySettings
 from endivesill.peers import Message
 from endivesill.timer import TimerService
 
-__all__ = ["Claim", "ClaimState", "Claims", "Result", "StoredAnswer", "request_digest"]
+__all__ = [
+    "Claim",
+    "ClaimResult",
+    "ClaimState",
+    "Claims",
+    "StoredResponse",
+    "request_digest",
+]
 
-POLL_S = 0.1
-POLL_LIMIT_S = 1.0
-PROPOSALS = 3
-RECORD_BACKOFF_S = 0.2
-RECORD_BACKOFF_LIMIT_S = 5.0
-LONGEST_KEY = 255
+INITIAL_POLL_S = 0.1
+MAX_POLL_S = 1.0
+MAX_PROPOSALS = 3
+INITIAL_RECORD_BACKOFF_S = 0.2
+MAX_RECORD_BACKOFF_S = 5.0
+MAX_KEY_CHARACTERS = 255
 
 
 class ClaimState(enum.Enum):
-    """What the ledger says of a key."""
+    """State of a key in the ledger."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -41,8 +48,8 @@
     UNKNOWN = "unknown"
 
 
-class Result(enum.Enum):
-    """How a claimed call ended; RELEASED only if it certainly did not run."""
+class ClaimResult(enum.Enum):
+    """Outcome of a claimed call; RELEASED only if it certainly did not run."""
 
     DONE = "done"
     UNKNOWN = "unknown"
@@ -50,22 +57,22 @@
 
 
 @attrs.frozen
-class StoredAnswer:
-    """An answer as the ledger keeps it."""
+class StoredResponse:
+    """A response as stored in the ledger."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
     def to_message(self) -> Message:
-        """Return the answer as a JSON object."""
+        """Return the response as a JSON object with a base64 body."""
         body = base64.b64encode(self.body).decode("ascii")
         headers = [list(pair) for pair in self.headers]
         return {"status": self.status, "headers": headers, "body": body}
 
     @classmethod
-    def from_message(cls, message: Message | None) -> StoredAnswer | None:
-        """Return the answer of a JSON object; None for one that was not kept."""
+    def from_message(cls, message: Message | None) -> StoredResponse | None:
+        """Decode a JSON object; None stands for a response that was not stored."""
         if message is None:
             return None
         headers = tuple((name, value) for name, value in message["headers"])
@@ -74,48 +81,48 @@
 
 @attrs.frozen
 class Claim:
-    """A key with what the ledger says of it.
+    """A key with its state in the ledger.
 
     Attributes:
       ledger_id: the key's id in the ledger.
-      attempt: this entry's attempt to claim it.
-      state: what the ledger says.
-      answer: the stored answer of a DONE key, if it was kept.
+      attempt: the id of this attempt to claim the key.
+      state: the state of the key.
+      response: the stored response of a DONE key, if it is still stored.
     """
 
     ledger_id: str
     attempt: str
     state: ClaimState
-    answer: StoredAnswer | None = None
+    response: StoredResponse | None = None
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest by which a repeated request is known to be the same."""
+    """Return the digest that identifies repetitions of a request."""
     head = f"{method}\0{path}\0".encode()
     return hashlib.sha256(head + body).hexdigest()
 
 
 def check_key(key: str) -> None:
-    """Check an `Idempotency-Key` header.
+    """Validate an `Idempotency-Key` header.
 
     Raises:
-      RequestError: it is empty, too long or not printable (400).
+      RequestError: the key is empty, too long or not printable (400).
     """
-    if not 0 < len(key) <= LONGEST_KEY or not key.isprintable():
-        detail = f"is not 1 to {LONGEST_KEY} printable characters"
+    if not 0 < len(key) <= MAX_KEY_CHARACTERS or not key.isprintable():
+        detail = f"is not 1 to {MAX_KEY_CHARACTERS} printable characters"
         raise errors.RequestError(400, detail, "idempotency-key")
 
 
 class Claims:
-    """Claims keys before a call is dispatched and records outcomes after.
+    """Claims keys before calls are dispatched and records outcomes afterwards.
 
     Args:
       timer: the timer service.
-      control: the replicated state.
-      settings: the entry's settings.
-      owner: this VM's instance, for the ledger.
-      background: runs what is recorded after the caller has its answer.
-      is_gone: tells whether a claimant's VM instance is known to be gone.
+      control: the client of the replicated state.
+      settings: the settings of the entry.
+      owner: the instance id of this VM, recorded as the claimant.
+      background: runs retries of failed ledger writes.
+      is_gone: returns whether the VM instance of a claimant is known to be gone.
     """
 
     def __init__(
@@ -124,7 +131,7 @@
         control: ControlClient,
         settings: EntrySettings,
         owner: str,
-        background: Background,
+        background: BackgroundTasks,
         is_gone: Callable[[str], bool] = lambda owner: False,
     ) -> None:
         self._timer = timer
@@ -143,11 +150,13 @@
         limits: Limits,
         request_id: str,
     ) -> Claim:
-        """Claim a key; wait for one that runs elsewhere, for a bounded time.
+        """Claim a key; if it is running elsewhere, wait for its outcome.
+
+        The wait ends at the deadline of the service.
 
         Raises:
-          RefusedError: the control state is not available, so that the call
-            has not run.
+          RequestError: the key is invalid (400).
+          RefusedError: the ledger is unavailable or full; the call has not run.
         """
         check_key(key)
         ledger_id = make_ledger_id(organisation.name, service.name, key)
@@ -167,11 +176,11 @@
         while True:
             result = await self._propose_claim(message)
             is_waiting = result["state"] == "running"
-            if is_waiting and await self._wait(message, result, deadline_s):
+            if is_waiting and await self._wait_for_outcome(message, result, deadline_s):
                 continue
-            return self._claim(message, result, request_id)
+            return self._to_claim(message, result, request_id)
 
-    def _claim(self, message: Message, result: Message, request_id: str) -> Claim:
+    def _to_claim(self, message: Message, result: Message, request_id: str) -> Claim:
         events.emit(
             CLAIM_ANSWERED,
             request_id=request_id,
@@ -179,39 +188,44 @@
             state=result["state"],
         )
         if result["state"] == "full":
-            raise errors.RefusedError("ledger-full", retry_after_s=POLL_LIMIT_S)
+            raise errors.RefusedError("ledger-full", retry_after_s=MAX_POLL_S)
         state = ClaimState(result["state"])
         if state is ClaimState.RUNNING and self._is_gone(result["owner"]):
             state = ClaimState.UNKNOWN
-        answer = StoredAnswer.from_message(result.get("answer"))
-        return Claim(message["id"], message["attempt"], state, answer)
+        response = StoredResponse.from_message(result.get("answer"))
+        return Claim(message["id"], message["attempt"], state, response)
 
     async def _propose_claim(self, message: Message) -> Message:
         timeout_s = self._settings.ledger_timeout_s
-        for _ in range(PROPOSALS):
+        for _ in range(MAX_PROPOSALS):
             try:
                 return await self._control.propose("ledger.claim", message, timeout_s)
             except errors.OutcomeUnknownError:
                 continue
             except errors.UnavailableError:
                 break
-        # A claim may stand after an unknown outcome; nothing was dispatched.
-        self._record_later(message["id"], message["attempt"], Result.RELEASED, None)
-        raise errors.RefusedError("control-unavailable", retry_after_s=POLL_LIMIT_S)
+        # After an unknown outcome the claim may be committed; since nothing was
+        # dispatched, release it.
+        self._record_in_background(
+            message["id"], message["attempt"], ClaimResult.RELEASED, None
+        )
+        raise errors.RefusedError("control-unavailable", retry_after_s=MAX_POLL_S)
 
-    async def _wait(self, message: Message, result: Message, deadline_s: float) -> bool:
-        """Wait while a key runs elsewhere; tell whether to claim again."""
+    async def _wait_for_outcome(
+        self, message: Message, result: Message, deadline_s: float
+    ) -> bool:
+        """Wait while a key is running elsewhere; return whether to claim again."""
         until_s = min(deadline_s, self._timer.now_s() + result["wait_s"])
-        poll_s = POLL_S
-        place = {"shard": message["shard"], "id": message["id"]}
+        poll_s = INITIAL_POLL_S
+        lookup = {"shard": message["shard"], "id": message["id"]}
         while self._timer.now_s() < until_s:
             if self._is_gone(result["owner"]):
                 return False
             await self._timer.sleep(min(poll_s, until_s - self._timer.now_s()))
-            poll_s = min(2 * poll_s, POLL_LIMIT_S)
+            poll_s = min(2 * poll_s, MAX_POLL_S)
             try:
                 found = await self._control.query(
-                    "ledger.read", place, self._settings.ledger_timeout_s
+                    "ledger.read", lookup, self._settings.ledger_timeout_s
                 )
             except errors.UnavailableError:
                 continue
@@ -220,42 +234,56 @@
         return self._timer.now_s() < deadline_s
 
     async def finish(
-        self, claim: Claim, result: Result, answer: StoredAnswer | None = None
+        self, claim: Claim, result: ClaimResult, response: StoredResponse | None = None
     ) -> None:
         """Record the outcome of a claimed call.
 
-        The caller gets its answer even if this fails; it is tried again in the
-        background, and until then the key counts as running or unknown.
+        A failed write does not fail the call: it is retried in the background.
+        Until then the key counts as running or unknown.
         """
-        if not await self._record(claim.ledger_id, claim.attempt, result, answer):
-            self._record_later(claim.ledger_id, claim.attempt, result, answer)
+        if not await self._record(claim.ledger_id, claim.attempt, result, response):
+            self._record_in_background(claim.ledger_id, claim.attempt, result, response)
 
-    def _record_later(
-        self, ledger_id: str, attempt: str, result: Result, answer: StoredAnswer | None
+    def _record_in_background(
+        self,
+        ledger_id: str,
+        attempt: str,
+        result: ClaimResult,
+        response: StoredResponse | None,
     ) -> None:
-        self._background.spawn(self._record_often(ledger_id, attempt, result, answer))
+        self._background.spawn(
+            self._record_with_retries(ledger_id, attempt, result, response)
+        )
 
-    async def _record_often(
-        self, ledger_id: str, attempt: str, result: Result, answer: StoredAnswer | None
+    async def _record_with_retries(
+        self,
+        ledger_id: str,
+        attempt: str,
+        result: ClaimResult,
+        response: StoredResponse | None,
     ) -> None:
         until_s = self._timer.now_s() + self._settings.claim_margin_s
-        backoff_s = RECORD_BACKOFF_S
+        backoff_s = INITIAL_RECORD_BACKOFF_S
         while self._timer.now_s() < until_s:
             await self._timer.sleep(backoff_s)
-            backoff_s = min(2 * backoff_s, RECORD_BACKOFF_LIMIT_S)
-            if await self._record(ledger_id, attempt, result, answer):
+            backoff_s = min(2 * backoff_s, MAX_RECORD_BACKOFF_S)
+            if await self._record(ledger_id, attempt, result, response):
                 return
         events.emit(CLAIM_UNRECORDED, ledger_id=ledger_id, result=result.value)
 
     async def _record(
-        self, ledger_id: str, attempt: str, result: Result, answer: StoredAnswer | None
+        self,
+        ledger_id: str,
+        attempt: str,
+        result: ClaimResult,
+        response: StoredResponse | None,
     ) -> bool:
         message: dict[str, Any] = {
             "shard": shard_of(ledger_id, self._settings.ledger_shards),
             "id": ledger_id,
             "attempt": attempt,
             "result": result.value,
-            "answer": None if answer is None else answer.to_message(),
+            "answer": None if response is None else response.to_message(),
             "answers_bytes": self._settings.stored_answers_bytes
             // self._settings.ledger_shards,
         }
--- a/endivesill/entry/context.py
+++ b/endivesill/entry/context.py
@@ -1,4 +1,4 @@
-"""What the parts of an entry share."""
+"""Services shared by the modules of an entry."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from endivesill import errors
 from endivesill.configuration.source import ConfigurationSource
 from endivesill.entry.admission import Admission
-from endivesill.entry.background import Background
+from endivesill.entry.background import BackgroundTasks
 from endivesill.entry.budget import RetryBudget
 from endivesill.entry.claims import Claims
 from endivesill.entry.identity import GenerationIds
@@ -29,25 +29,25 @@
 
 @attrs.frozen
 class EntryContext:
-    """The services and tables that the parts of an entry share.
+    """Services and tables shared by the modules of an entry.
 
     Attributes:
       timer: the timer service.
-      settings: the entry's settings.
-      source: the configuration with its lease.
-      index: look-ups of the configuration in force.
-      router: where grants come from.
-      engines: the engine adapter.
+      settings: the settings of the entry.
+      source: the configuration and its lease.
+      index: lookup tables of the configuration in force.
+      router: issues grants to start attempts at targets.
+      engines: the adapter to engines.
       plain: the adapter to plain services.
-      ids: makes and checks generation ids.
+      ids: creates and verifies generation ids.
       claims: claims idempotency keys.
-      budget: how often failed attempts are made again.
-      watchdog: bounds on waits of streams.
-      admission: the bound on an organisation's requests.
+      budget: the retry budget.
+      watchdog: detects stalled streams.
+      admission: the concurrency limit per organisation.
       background: tasks that outlive their request.
       metrics: counters and recorders of the process.
-      is_draining: tells whether a planned stop has begun.
-      accepts: tells whether new requests are taken.
+      is_draining: returns whether a graceful shutdown has begun.
+      accepts: returns whether new requests are accepted.
     """
 
     timer: TimerService
@@ -62,29 +62,30 @@
     budget: RetryBudget
     watchdog: Watchdog
     admission: Admission
-    background: Background
+    background: BackgroundTasks
     metrics: Metrics
     is_draining: Callable[[], bool]
     accepts: Callable[[], bool] = lambda: True
 
     def check_lease(self) -> None:
-        """Check that new work may start.
+        """Check that this entry holds the configuration lease.
 
         Raises:
-          RefusedError: the configuration may be out of date; it has not run.
+          RefusedError: no lease, so the configuration may be stale; not run.
         """
         if not self.source.holds_lease():
             raise errors.RefusedError("no-lease", retry_after_s=LEASE_RETRY_AFTER_S)
 
-    def check_accepts(self) -> None:
-        """Check that this entry takes new requests.
+    def check_accepting(self) -> None:
+        """Check that this entry accepts new requests.
 
         Raises:
-          RefusedError: it is to be stopped, and the balancer has had its time.
+          RefusedError: the entry is draining and the load balancer has had time to
+            remove it.
         """
         if not self.accepts():
             raise errors.RefusedError("draining", retry_after_s=DRAIN_RETRY_AFTER_S)
 
     def start_check(self, grant: Grant) -> Callable[[], bool]:
-        """Return what is asked just before the first byte of an attempt."""
+        """Return the check to run just before an attempt sends its first byte."""
         return lambda: self.source.holds_lease() and grant.may_start()
--- a/endivesill/entry/exchange.py
+++ b/endivesill/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One call to a plain service: its attempts, and the answer that is passed on."""
+"""One call to a plain service: its attempts and the forwarded response."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from endivesill import errors, events
 from endivesill.configuration.model import Limits
 from endivesill.entry.attempts import Attempts
-from endivesill.entry.claims import StoredAnswer
+from endivesill.entry.claims import StoredResponse
 from endivesill.entry.context import EntryContext
 from endivesill.entry.events import (
+    CALL_NOT_RUN,
     CALL_SENT,
-    CALL_SKIPPED,
     READER_STALLED,
 )
-from endivesill.entry.http import Answer, raw_headers
+from endivesill.entry.http import Response, raw_headers
 from endivesill.entry.plain_request import PlainRequest
 from endivesill.routing import Grant, Outcome
 from endivesill.targets import PlainAnswer, PlainCall
@@ -23,47 +23,51 @@
 
 
 class PlainExchange:
-    """One call with its attempts; the answer is passed on as it arrives.
+    """Sends one call, with retries, and forwards the response as it arrives.
 
     Args:
-      context: what the entry shares.
-      answer: the answer to the caller.
-      call: the caller's call.
-      limits: the bound on slow readers.
+      context: services shared by the modules of the entry.
+      response: the response to the caller.
+      call: the validated call.
+      limits: the configured limits; `slow_reader_s` is used.
     """
 
     def __init__(
-        self, context: EntryContext, answer: Answer, call: PlainRequest, limits: Limits
+        self,
+        context: EntryContext,
+        response: Response,
+        call: PlainRequest,
+        limits: Limits,
     ) -> None:
         self._context = context
-        self._answer = answer
+        self._response = response
         self._call = call
         self._limits = limits
         self._attempts = Attempts(
-            context, call.service, call.organisation, answer.request_id
+            context, call.service, call.organisation, response.request_id
         )
-        self._target_answer: PlainAnswer | None = None
+        self._target_response: PlainAnswer | None = None
         self._stored: list[bytes] = []
         self._stored_bytes = 0
 
-    def stored_answer(self) -> StoredAnswer | None:
-        """Return the answer for the ledger, or None if it is too large."""
-        if self._target_answer is None:
+    def stored_response(self) -> StoredResponse | None:
+        """Return the response for the ledger, or None if absent or too large."""
+        if self._target_response is None:
             return None
         if self._stored_bytes > self._context.settings.stored_answer_bytes:
             return None
-        return StoredAnswer(
-            self._target_answer.status,
-            self._target_answer.headers,
+        return StoredResponse(
+            self._target_response.status,
+            self._target_response.headers,
             b"".join(self._stored),
         )
 
     async def run(self) -> None:
-        """Send the call, again where that is allowed, and pass the answer on.
+        """Send the call, retrying where allowed, and forward the response.
 
         Raises:
-          TargetError: it failed; `run` tells whether it may have run.
-          RefusedError: no target took it.
+          TargetError: the call failed; `run` says whether it may have run.
+          RefusedError: no target accepted the call.
         """
         while True:
             grant = await self._attempts.acquire()
@@ -71,7 +75,7 @@
                 await self._attempt(grant)
                 break
             except errors.TargetError as error:
-                if self._answer.status or not self._may_repeat(error):
+                if self._response.status or not self._may_retry(error):
                     raise self._attempts.final_error(error) from error
                 await self._attempts.back_off(grant, error)
         self._attempts.succeeded()
@@ -79,17 +83,17 @@
     async def _attempt(self, grant: Grant) -> None:
         outcome = Outcome.FAILED
         try:
-            answer = await self._send(grant)
+            response = await self._send(grant)
             try:
-                await self._pass_on(answer)
+                await self._forward_response(response)
             finally:
-                answer.close()
+                response.close()
             outcome = Outcome.DONE
         except errors.TargetRefusedError as error:
             outcome = Outcome.NOT_RUN
             events.emit(
-                CALL_SKIPPED,
-                request_id=self._answer.request_id,
+                CALL_NOT_RUN,
+                request_id=self._response.request_id,
                 target=grant.target.name,
                 error=str(error),
             )
@@ -101,7 +105,7 @@
         attempt_id = uuid.uuid4().hex
         events.emit(
             CALL_SENT,
-            request_id=self._answer.request_id,
+            request_id=self._response.request_id,
             attempt_id=attempt_id,
             target=grant.target.name,
             repeatable=self._call.repeatable,
@@ -121,48 +125,50 @@
             self._context.start_check(grant),
         )
 
-    async def _pass_on(self, target_answer: PlainAnswer) -> None:
-        """Pass the answer on as it arrives, within bounds on both sides.
+    async def _forward_response(self, target_response: PlainAnswer) -> None:
+        """Forward the response as it arrives, with time limits on both sides.
 
-        A caller that goes away or reads too slowly does not end the exchange
-        while its answer is still to be stored.
+        If the caller disconnects or reads too slowly, the response is still read
+        to its end while it can be stored in the ledger.
         """
-        self._target_answer = target_answer
-        answer = self._answer
-        await answer.start(target_answer.status, raw_headers(target_answer.headers))
+        self._target_response = target_response
+        response = self._response
+        await response.start(
+            target_response.status, raw_headers(target_response.headers)
+        )
         watchdog = self._context.watchdog
         deadline_s = self._call.service.deadline_s
         with (
-            watchdog.watch(deadline_s, target_answer.close) as reading,
-            watchdog.watch(self._limits.slow_reader_s, self._stalled) as sending,
+            watchdog.watch(deadline_s, target_response.close) as target_wait,
+            watchdog.watch(self._limits.slow_reader_s, self._on_stall) as caller_wait,
         ):
             while True:
-                reading.active = True
-                chunk = await target_answer.read()
-                reading.active = False
-                reading.steps += 1
-                self._store(chunk)
-                sending.active = True
-                await answer.send(
+                target_wait.active = True
+                chunk = await target_response.read()
+                target_wait.active = False
+                target_wait.steps += 1
+                self._store_chunk(chunk)
+                caller_wait.active = True
+                await response.send(
                     {
                         "type": "http.response.body",
                         "body": chunk,
                         "more_body": bool(chunk),
                     }
                 )
-                sending.active = False
-                sending.steps += 1
-                if not chunk or self._is_in_vain():
+                caller_wait.active = False
+                caller_wait.steps += 1
+                if not chunk or self._can_stop_reading():
                     return
 
-    def _is_in_vain(self) -> bool:
-        """Tell whether nobody is left who could use the rest of the answer."""
-        if not self._answer.is_cut():
+    def _can_stop_reading(self) -> bool:
+        """Return whether neither the caller nor the ledger needs the rest."""
+        if not self._response.is_connection_closing():
             return False
-        kept_bytes = self._context.settings.stored_answer_bytes
-        return self._call.key is None or self._stored_bytes > kept_bytes
+        limit_bytes = self._context.settings.stored_answer_bytes
+        return self._call.key is None or self._stored_bytes > limit_bytes
 
-    def _store(self, chunk: bytes) -> None:
+    def _store_chunk(self, chunk: bytes) -> None:
         if self._call.key is None:
             return
         self._stored_bytes += len(chunk)
@@ -171,15 +177,14 @@
         else:
             self._stored.clear()
 
-    def _stalled(self) -> None:
-        events.emit(READER_STALLED, request_id=self._answer.request_id)
-        self._answer.abort()
+    def _on_stall(self) -> None:
+        events.emit(READER_STALLED, request_id=self._response.request_id)
+        self._response.abort()
 
-    def _may_repeat(self, error: errors.TargetError) -> bool:
-        """Tell whether another attempt keeps the call's promise.
+    def _may_retry(self, error: errors.TargetError) -> bool:
+        """Return whether a failed attempt may be retried.
 
-        A call that may not be repeated goes out again only if no byte of it
-        has gone out.
+        A non-repeatable call is retried only if no byte of it was sent.
         """
         if self._call.repeatable:
             return True
--- a/endivesill/entry/generations.py
+++ b/endivesill/entry/generations.py
@@ -1,8 +1,8 @@
-"""Generations: from a caller's request to the last token.
+"""Generation requests and their attempts.
 
-Until a token has gone out to the caller, a failed attempt may start again at
-another engine, as a new generation. After it, only that generation goes on; see
-`relay`.
+Until the first token has been sent to the caller, a failed attempt may be retried
+at another engine, as a new generation. After that, only the same generation may
+continue; see `relay`.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 class Generation:
-    """One caller's generation with its attempts.
+    """One generation request with its attempts.
 
     Args:
-      context: what the entry shares.
-      table: the entry's relays.
-      call: the checked request.
-      service: the service of its model.
-      organisation: who asks.
-      request_id: the caller's request.
+      context: services shared by the modules of the entry.
+      table: the relays of the entry.
+      call: the validated request.
+      service: the service of the model.
+      organisation: the organisation of the caller.
+      request_id: the id of the request.
 
     Attributes:
-      relay: the attempt in progress, or the last one.
+      relay: the relay of the current or last attempt; None before the first.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         self.relay: Relay | None = None
 
     async def run(self, deliver: Deliver) -> Relay:
-        """Deliver blocks of whole events, each token once and in order.
+        """Deliver blocks of complete events, each token once and in order.
 
         Returns:
-          The relay that came to the end.
+          The relay of the attempt that completed.
 
         Raises:
-          RefusedError: it was not started, or its first token is late.
-          TargetError: it broke; the relay's `next_index` tells how far it came.
+          RefusedError: no attempt was started, or no first token by the deadline.
+          TargetError: the generation failed after `relay.next_index` tokens.
         """
         while True:
             grant = await self._attempts.acquire(
@@ -82,7 +82,7 @@
         return relay
 
     def _has_reached_caller(self) -> bool:
-        """Tell whether tokens have gone out, so that no other generation may."""
+        """Return whether tokens were sent to the caller, which rules out a retry."""
         relay = self.relay
         return relay is not None and relay.next_index > 0 and self._call.streamed
 
@@ -93,14 +93,14 @@
         relay = Relay(
             self._context, self._service, grant, generation_id, self.request_id
         )
-        relay.is_kept = self._call.streamed
+        relay.retain_on_disconnect = self._call.streamed
         self.relay = relay
-        left_s = max(0.0, self._attempts.deadline_s - self._context.timer.now_s())
+        remaining_s = max(0.0, self._attempts.deadline_s - self._context.timer.now_s())
 
         async def open_stream(attempt_id: str) -> EngineStream:
-            return await self._open(relay, attempt_id, left_s)
+            return await self._open(relay, attempt_id, remaining_s)
 
-        await self._table.run(relay, open_stream, deliver, left_s)
+        await self._table.run(relay, open_stream, deliver, remaining_s)
         return relay
 
     async def _open(
--- a/endivesill/entry/http.py
+++ b/endivesill/entry/http.py
@@ -1,4 +1,4 @@
-"""Small pieces of HTTP on raw ASGI: requests with bounds, answers, problems."""
+"""HTTP on raw ASGI: size-limited requests, responses and problem documents."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from endivesill.timer import TimerService
 
 __all__ = [
-    "Answer",
     "AsgiRequest",
     "RawHeaders",
     "Receive",
+    "Response",
     "Scope",
     "Send",
     "problem_document",
@@ -32,11 +32,11 @@
 
 
 class AsgiRequest:
-    """A caller's request.
+    """An HTTP request.
 
     Args:
-      scope: the ASGI scope of an HTTP request.
-      receive: the ASGI channel of its body.
+      scope: the ASGI scope of the request.
+      receive: the ASGI receive callable.
     """
 
     def __init__(self, scope: Scope, receive: Receive) -> None:
@@ -49,15 +49,15 @@
         self._headers = dict(reversed(self.raw_headers))
 
     def header(self, name: str) -> str | None:
-        """Return the first header of that lower-case name."""
+        """Return the value of the first header with a lower-case name, or None."""
         value = self._headers.get(name.encode())
         return None if value is None else value.decode("latin-1")
 
     def check_header_size(self, limit_bytes: int) -> None:
-        """Refuse headers over the limit.
+        """Check the size of the request line and headers.
 
         Raises:
-          RequestError: with status 431.
+          RequestError: they exceed the limit (431).
         """
         size = sum(len(name) + len(value) + 4 for name, value in self.raw_headers)
         size += len(self.raw_path) + len(self.query)
@@ -67,22 +67,22 @@
     async def body(
         self, timer: TimerService, limit_bytes: int, timeout_s: float
     ) -> bytes:
-        """Read the whole body.
+        """Read the complete body.
 
         Raises:
-          RequestError: it is too large (413) or too slow (408).
-          CallerGoneError: the caller went away.
+          RequestError: the body is too large (413) or too slow (408).
+          CallerGoneError: the caller disconnected.
         """
         length = self.header("content-length")
         if length is not None and length.isdigit() and int(length) > limit_bytes:
             raise errors.RequestError(413, f"body over {limit_bytes} bytes", "body")
         try:
-            return await timer.wait_for(self._read(limit_bytes), timeout_s)
+            return await timer.wait_for(self._read_body(limit_bytes), timeout_s)
         except errors.DeadlineExceededError:
             detail = f"no whole body within {timeout_s} s"
             raise errors.RequestError(408, detail, "body") from None
 
-    async def _read(self, limit_bytes: int) -> bytes:
+    async def _read_body(self, limit_bytes: int) -> bytes:
         chunks: list[bytes] = []
         size = 0
         while True:
@@ -97,21 +97,21 @@
             if not message.get("more_body", False):
                 return b"".join(chunks)
 
-    async def disconnected(self) -> None:
-        """Wait until the caller goes away."""
+    async def wait_for_disconnect(self) -> None:
+        """Wait until the caller disconnects."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
                 return
 
     async def run_while_connected(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run some work and cancel it when the caller goes away.
+        """Run a coroutine and cancel it if the caller disconnects.
 
         Raises:
-          CallerGoneError: the caller went away.
+          CallerGoneError: the caller disconnected.
         """
         task = asyncio.ensure_future(work)
-        watcher = asyncio.ensure_future(self.disconnected())
+        watcher = asyncio.ensure_future(self.wait_for_disconnect())
         watcher.add_done_callback(lambda _: task.cancel())
         try:
             await task
@@ -124,48 +124,50 @@
             watcher.cancel()
 
 
-class Answer:
-    """The answer to one request; it is begun once and ended once.
+class Response:
+    """The response to one request; it is started once and ended once.
 
     Args:
       scope: the ASGI scope of the request.
-      send: the ASGI channel of the answer.
-      request_id: given back in each answer.
-      is_last: whether the connection is to end with this answer.
+      send: the ASGI send callable.
+      request_id: sent in the `x-request-id` header.
+      closes_connection: whether to close the connection after this response.
 
     Attributes:
-      status: the status sent; 0 before the answer has begun.
+      status: the HTTP status sent; 0 before the response has started.
     """
 
     def __init__(
-        self, scope: Scope, send: Send, request_id: str, is_last: bool = False
+        self, scope: Scope, send: Send, request_id: str, closes_connection: bool = False
     ) -> None:
         self.send = send
-        self._is_last = is_last
+        self._closes_connection = closes_connection
         self.request_id = request_id
         self.status = 0
         self._connection = scope.get("extensions", {}).get(CONNECTION_EXTENSION, {})
 
     async def start(self, status: int, headers: RawHeaders) -> None:
-        """Begin the answer."""
+        """Send the status and headers."""
         self.status = status
         with_id = [*headers, (b"x-request-id", self.request_id.encode())]
-        if self._is_last:
+        if self._closes_connection:
             with_id.append((b"connection", b"close"))
         message = {"type": "http.response.start", "status": status}
         await self.send({**message, "headers": with_id})
 
-    async def whole(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+    async def send_complete(
+        self, status: int, headers: RawHeaders, body: bytes
+    ) -> None:
+        """Send a complete response with a Content-Length."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status, [*headers, length])
         await self.send({"type": "http.response.body", "body": body})
 
-    async def problem(self, error: Exception) -> None:
+    async def send_problem(self, error: Exception) -> None:
         """Send an error as problem+json (RFC 9457) with its `run` state.
 
-        An answer that has begun is cut off in its place, so that the caller
-        does not take it for whole.
+        If the response has already started, the connection is aborted instead, so
+        that the caller does not take a truncated response for a complete one.
         """
         if self.status or isinstance(error, errors.CallerGoneError):
             self.abort()
@@ -177,20 +179,20 @@
             headers.append((b"retry-after", str(seconds).encode()))
         if status in (408, 413):
             headers.append((b"connection", b"close"))
-        await self.whole(status, headers, json.dumps(document).encode())
+        await self.send_complete(status, headers, json.dumps(document).encode())
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Abort the connection immediately."""
         if "abort" in self._connection:
             self._connection["abort"]()
 
-    def is_cut(self) -> bool:
-        """Tell whether the connection is closing, so that nothing arrives."""
+    def is_connection_closing(self) -> bool:
+        """Return whether the connection is closing; the caller receives no more."""
         return "is_closing" in self._connection and self._connection["is_closing"]()
 
 
 def problem_document(request_id: str, error: Exception) -> tuple[int, dict[str, Any]]:
-    """Return the status and the problem document of an error."""
+    """Return the HTTP status and the problem document of an error."""
     document: dict[str, Any] = {"type": "about:blank"}
     field, retry_after_s = "", None
     if isinstance(error, errors.RequestError):
@@ -214,5 +216,8 @@
 
 
 def raw_headers(headers: tuple[tuple[str, str], ...]) -> RawHeaders:
-    """Return headers as ASGI wants them; a length is kept, so that cuts show."""
+    """Encode headers for ASGI.
+
+    A Content-Length is kept, so that the caller can detect a truncated response.
+    """
     return [(n.encode("latin-1"), v.encode("latin-1")) for n, v in headers]
--- a/endivesill/entry/index.py
+++ b/endivesill/entry/index.py
@@ -1,4 +1,4 @@
-"""Look-ups of the entry, built once for each configuration revision."""
+"""Lookup tables of the entry, rebuilt for each configuration revision."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ConfigurationIndex:
-    """Organisations, targets and plain services by what requests carry.
+    """Lookup tables by the keys, ids and paths that requests carry.
 
     Args:
       configuration: the configuration to index.
@@ -34,7 +34,7 @@
         self._targets: dict[str, Target] = {
             target_tag(target.name): target for target in configuration.targets.values()
         }
-        self._plain = sorted(
+        self._plain_services = sorted(
             (s for s in configuration.services.values() if s.protocol == "plain"),
             key=lambda service: len(service.path_prefix),
             reverse=True,
@@ -43,8 +43,8 @@
     def authenticate(self, authorization: str | None) -> Organisation:
         """Return the organisation of an Authorization header.
 
-        The look-up is by the digest of the key, which a caller cannot steer
-        towards a stored one; the digests are then compared in constant time.
+        The lookup uses a digest of the key, which a caller cannot steer towards a
+        stored digest; the digests are then compared in constant time.
 
         Raises:
           RequestError: the key is missing or unknown (401).
@@ -58,11 +58,11 @@
             raise errors.RequestError(401, "the key is unknown", "authorization")
         return found
 
-    def model(self, name: str) -> Service:
-        """Return the service of a model.
+    def engine_service(self, name: str) -> Service:
+        """Return the engine service of a model.
 
         Raises:
-          RequestError: there is none (404).
+          RequestError: there is no such model (404).
         """
         service = self.configuration.services.get(name)
         if service is None or service.protocol != "engine":
@@ -70,22 +70,22 @@
         return service
 
     def plain_service(self, path: str) -> Service:
-        """Return the plain service with the longest prefix of a path.
+        """Return the plain service with the longest path prefix that matches.
 
         Raises:
-          RequestError: there is none (404).
+          RequestError: no service matches the path (404).
         """
-        for service in self._plain:
+        for service in self._plain_services:
             if (path + "/").startswith(service.path_prefix.rstrip("/") + "/"):
                 return service
         raise errors.RequestError(404, f"no service at {path}", "path")
 
     def target_by_tag(self, tag: str) -> Target | None:
-        """Return the target of a generation id's tag."""
+        """Return the target with a tag, or None; see `target_tag`."""
         return self._targets.get(tag)
 
     def target_by_url(self, service_name: str, url: str) -> Target | None:
-        """Return a service's target at an address."""
+        """Return the target of a service with a URL, or None."""
         targets = self.configuration.targets.values()
         for target in targets:
             if target.service == service_name and target.url == url.rstrip("/"):
@@ -94,7 +94,7 @@
 
 
 class IndexCache:
-    """The index of the configuration in force.
+    """Caches the index of the configuration in force.
 
     Args:
       configuration: returns the configuration in force.
@@ -105,7 +105,7 @@
         self._index = ConfigurationIndex(configuration())
 
     def current(self) -> ConfigurationIndex:
-        """Return the index, built anew after a change."""
+        """Return the index; it is rebuilt after a configuration change."""
         configuration = self._configuration()
         if configuration is not self._index.configuration:
             self._index = ConfigurationIndex(configuration)
--- a/endivesill/entry/memory.py
+++ b/endivesill/entry/memory.py
@@ -1,4 +1,4 @@
-"""Memory management of a process that streams."""
+"""Garbage collector tuning for streaming processes."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def freeze_start_up_objects() -> None:
-    """Take the objects of the start out of the garbage collector's passes.
+    """Exempt the objects created at startup from garbage collection.
 
-    A full pass visits all modules and classes, and stops every stream for tens of
-    milliseconds. Called once, after all services have started.
+    Otherwise each full collection visits all modules and classes and pauses every
+    stream for tens of milliseconds. Call it once, after all services have started.
     """
     gc.collect()
     gc.freeze()
--- a/endivesill/entry/plain_request.py
+++ b/endivesill/entry/plain_request.py
@@ -1,4 +1,4 @@
-"""Check of a caller's call to a plain service."""
+"""Parsing and validation of calls to plain services."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from endivesill.entry.http import AsgiRequest
 from endivesill.targets.plain import end_to_end_headers
 
-__all__ = ["KEY_HEADER", "PlainRequest", "parse_plain_request"]
+__all__ = ["IDEMPOTENCY_KEY_HEADER", "PlainRequest", "parse_plain_request"]
 
-KEY_HEADER = "idempotency-key"
-PRIVATE_HEADERS = (b"authorization", b"content-length", b"x-attempt-id")
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+STRIPPED_HEADERS = (b"authorization", b"content-length", b"x-attempt-id")
 
 
 @attrs.frozen
 class PlainRequest:
-    """A caller's checked call to a plain service.
+    """A validated call to a plain service.
 
     Attributes:
-      service: the service of its path.
-      organisation: who calls.
+      service: the service that matches the path.
+      organisation: the organisation of the caller.
       method: the HTTP method.
-      path: path and query for the target.
-      headers: the end-to-end headers without the caller's key.
-      body: the whole body.
-      repeatable: whether it may be sent again after an unknown outcome.
-      key: its idempotency key; None if it has none or needs none.
+      path: the path and query to send to the target.
+      headers: the end-to-end headers without those in `STRIPPED_HEADERS`.
+      body: the complete body.
+      repeatable: whether the call may be retried after an unknown outcome.
+      key: the idempotency key; None if absent or if the call is repeatable.
     """
 
     service: Service
@@ -45,10 +45,10 @@
 def parse_plain_request(
     request: AsgiRequest, service: Service, organisation: Organisation, body: bytes
 ) -> PlainRequest:
-    """Return the call that a request makes.
+    """Convert an HTTP request into a call to a service.
 
     Raises:
-      RequestError: the path's prefix is written with escapes (400).
+      RequestError: the service's path prefix is percent-encoded (400).
     """
     prefix = service.path_prefix.rstrip("/")
     raw_path = request.raw_path.decode("ascii")
@@ -61,15 +61,15 @@
     headers = end_to_end_headers(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in request.raw_headers
-        if name not in PRIVATE_HEADERS
+        if name not in STRIPPED_HEADERS
     )
-    key = None if repeatable else request.header(KEY_HEADER)
+    key = None if repeatable else request.header(IDEMPOTENCY_KEY_HEADER)
     return PlainRequest(
         service, organisation, request.method, path, headers, body, repeatable, key
     )
 
 
 def _is_repeatable(service: Service, method: str, path: str) -> bool:
-    """Tell whether a call may be repeated, however its path is written."""
+    """Return whether a call is repeatable under both its raw and normalised path."""
     normal = posixpath.normpath("/" + path.lstrip("/"))
     return all(service.is_repeatable(method, form) for form in (path, normal))
--- a/endivesill/entry/reconnect.py
+++ b/endivesill/entry/reconnect.py
@@ -1,4 +1,4 @@
-"""Callers that come back for the rest of a generation, through any entry."""
+"""Resuming the stream of a generation after a caller reconnects to any entry."""
 
 from __future__ import annotations
 
@@ -8,34 +8,38 @@
 from endivesill.configuration.model import Organisation, Service, Target
 from endivesill.entry.context import EntryContext
 from endivesill.entry.events import STREAM_RECONNECTED
-from endivesill.entry.http import Answer, AsgiRequest
+from endivesill.entry.http import AsgiRequest, Response
 from endivesill.entry.identity import EventId
 from endivesill.entry.relay import Relay
-from endivesill.entry.streaming import StreamAnswer
+from endivesill.entry.streaming import StreamResponse
 from endivesill.entry.table import RelayTable
 from endivesill.routing import Grant, RouteRequest
 from endivesill.targets import EngineStream
 
 __all__ = ["reconnect"]
 
-PROBED_TARGETS = 8
+MAX_PROBED_TARGETS = 8
 RETRY_AFTER_S = 1.0
 GONE_STATUS = 410
 
 
-class _Search:
+class _GenerationLocator:
     """Finds the engine that holds a generation.
 
-    It is the engine of the generation's tag, unless that one has moved the
-    generation on: then it names the other engine, or is gone itself, and the
-    service's engines are asked in the order of a rendezvous hash.
+    The engine of the tag in the generation id is tried first. If it has migrated
+    the generation, it redirects to the new engine. If that fails, other engines of
+    the service are tried in the order of a rendezvous hash.
     """
 
     def __init__(
-        self, context: EntryContext, home: Target, last: EventId, attempt_id: str
+        self,
+        context: EntryContext,
+        origin_target: Target,
+        last: EventId,
+        attempt_id: str,
     ) -> None:
         self._context = context
-        self._home = home
+        self._origin_target = origin_target
         self._last = last
         self._attempt_id = attempt_id
         self._was_unreachable = False
@@ -44,10 +48,10 @@
         """Return the engine and the resumed stream.
 
         Raises:
-          RefusedError: no engine holds it, or one could not be asked.
+          RefusedError: no engine holds the generation, or one was unreachable.
         """
-        for target in [self._home, *self._others()]:
-            found = await self._ask(target)
+        for target in [self._origin_target, *self._fallback_targets()]:
+            found = await self._try_target(target)
             if found is not None:
                 return found
         if self._was_unreachable:
@@ -56,15 +60,15 @@
                 run=errors.RunState.UNKNOWN,
                 retry_after_s=RETRY_AFTER_S,
             )
-        raise generation_gone()
+        raise generation_gone_error()
 
-    async def _ask(self, target: Target) -> tuple[Target, EngineStream] | None:
+    async def _try_target(self, target: Target) -> tuple[Target, EngineStream] | None:
         try:
             return target, await self._resume(target)
         except errors.TargetGoneError as error:
             index = self._context.index.current()
             moved = index.target_by_url(target.service, error.moved_to)
-            return await self._ask(moved) if moved and moved != target else None
+            return await self._try_target(moved) if moved and moved != target else None
         except (errors.TargetError, errors.DeadlineExceededError):
             self._was_unreachable = True
             return None
@@ -76,15 +80,16 @@
         )
         return await self._context.timer.wait_for(resuming, timeout_s)
 
-    def _others(self) -> list[Target]:
+    def _fallback_targets(self) -> list[Target]:
         targets = self._context.index.current().configuration.targets.values()
         others = [
             target
             for target in targets
-            if target.service == self._home.service and target != self._home
+            if target.service == self._origin_target.service
+            and target != self._origin_target
         ]
         others.sort(key=self._rank)
-        return others[:PROBED_TARGETS]
+        return others[:MAX_PROBED_TARGETS]
 
     def _rank(self, target: Target) -> bytes:
         text = f"{self._last.generation_id}\0{target.name}"
@@ -95,35 +100,39 @@
     context: EntryContext,
     table: RelayTable,
     request: AsgiRequest,
-    answer: Answer,
+    response: Response,
     organisation: Organisation,
     last: EventId,
 ) -> None:
-    """Answer with the tokens after the last one that a caller has.
+    """Stream the tokens that follow the last one the caller received.
 
-    This is no new work: it needs neither a lease nor a place at the engine.
+    This starts no new work, so it needs neither a lease nor a new grant.
 
     Raises:
-      EndivesillError: it did not begin.
+      EndivesillError: the stream could not be started.
     """
     tag = context.ids.check(last.generation_id, organisation.name)
     index = context.index.current()
-    home = index.target_by_tag(tag)
-    if home is None:
-        raise generation_gone()
-    service = index.configuration.services.get(home.service)
+    origin_target = index.target_by_tag(tag)
+    if origin_target is None:
+        raise generation_gone_error()
+    service = index.configuration.services.get(origin_target.service)
     if service is None:
-        raise generation_gone()
-    relay = _relay(context, table, service, home, organisation, answer, last)
+        raise generation_gone_error()
+    relay = _make_relay(
+        context, table, service, origin_target, organisation, response, last
+    )
 
     async def open_stream(attempt_id: str) -> EngineStream:
-        target, stream = await _Search(context, home, last, attempt_id).open()
+        target, stream = await _GenerationLocator(
+            context, origin_target, last, attempt_id
+        ).open()
         if target.name != relay.target.name:
             relay.change_target(target)
         return stream
 
     limits = index.configuration.limits
-    with StreamAnswer(context, answer, limits) as stream:
+    with StreamResponse(context, response, limits) as stream:
 
         async def work() -> None:
             try:
@@ -136,41 +145,43 @@
         await request.run_while_connected(work())
 
 
-def _relay(
+def _make_relay(
     context: EntryContext,
     table: RelayTable,
     service: Service,
-    home: Target,
+    origin_target: Target,
     organisation: Organisation,
-    answer: Answer,
+    response: Response,
     last: EventId,
 ) -> Relay:
-    """Return a relay with the kept grant, or one that counts nothing."""
-    kept = table.take(last.generation_id)
-    if kept is not None:
-        grant = kept.grant
+    """Create a relay with the retained grant, or else an unaccounted one."""
+    retained = table.take_retained(last.generation_id)
+    if retained is not None:
+        grant = retained.grant
     else:
-        grant = Grant(RouteRequest(answer.request_id, service, organisation), home)
+        grant = Grant(
+            RouteRequest(response.request_id, service, organisation), origin_target
+        )
     events.emit(
         STREAM_RECONNECTED,
-        request_id=answer.request_id,
+        request_id=response.request_id,
         generation_id=last.generation_id,
         target=grant.target.name,
         next_index=last.index + 1,
-        was_kept=kept is not None,
+        was_kept=retained is not None,
     )
     return Relay(
         context,
         service,
         grant,
         last.generation_id,
-        answer.request_id,
+        response.request_id,
         last.index + 1,
     )
 
 
-def generation_gone() -> errors.RefusedError:
-    """Return the error of a generation that no engine holds."""
+def generation_gone_error() -> errors.RefusedError:
+    """Return the error for a generation that no engine holds (410)."""
     return errors.RefusedError(
         "generation-gone", run=errors.RunState.UNKNOWN, status=GONE_STATUS
     )
--- a/endivesill/entry/relay.py
+++ b/endivesill/entry/relay.py
@@ -1,7 +1,8 @@
-"""Relay of one generation's tokens, over resumes and moves between engines.
+"""Relay of the tokens of one generation, across resumes and migrations.
 
-The scanner lets each token pass once and in order, so that whatever the engine
-repeats after a resume is dropped, and a gap or a foreign token ends the attempt.
+The scanner passes each token once and in order: tokens that the engine repeats
+after a resume are dropped, and a gap or a token of another generation ends the
+attempt.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
     STREAM_RESUMED,
     STREAM_STALLED,
 )
-from endivesill.entry.watchdog import Progress
+from endivesill.entry.watchdog import WaitTracker
 from endivesill.routing import Grant, Outcome
 from endivesill.targets import EngineStream, TokenScanner
 
 __all__ = ["Deliver", "OpenStream", "Relay"]
 
 RESUME_TIMEOUT_S = 5.0
-BACKOFF_LIMIT_S = 2.0
-MAXIMUM_MOVES = 4
+MAX_BACKOFF_S = 2.0
+MAX_MOVES = 4
 
 Deliver = Callable[["Relay", bytes], Awaitable[None]]
 OpenStream = Callable[[str], Awaitable[EngineStream]]
@@ -36,19 +37,20 @@
     """Reads a generation from its engine and delivers its tokens.
 
     Args:
-      context: what the entry shares.
+      context: services shared by the modules of the entry.
       service: the service of the generation.
-      grant: leave for the work at the engine.
-      generation_id: the generation.
-      request_id: the caller's request.
-      next_index: the first token that the caller lacks.
+      grant: the grant for the work at the engine.
+      generation_id: the id of the generation.
+      request_id: the id of the request.
+      next_index: the index of the first token that the caller lacks.
 
     Attributes:
-      grant: the grant in use; it changes when the generation moves.
-      attempts: the last attempt known to have reached the engine, and those
-        after it that may have.
-      next_index: the first token that has not been delivered.
-      is_kept: whether it is kept for a reconnect when the caller goes away.
+      grant: the current grant; it changes when the generation is migrated.
+      attempts: the id of the last attempt known to have reached the engine, and
+        of later ones that may have.
+      next_index: the index of the first token that has not been delivered.
+      retain_on_disconnect: whether the generation is retained for a reconnect
+        when the caller disconnects.
     """
 
     def __init__(
@@ -66,33 +68,34 @@
         self._stream: EngineStream | None = None
         self._next_grant: Grant | None = None
         self._finished = False
-        self._is_late = False
+        self._is_first_token_late = False
         self.generation_id = generation_id
         self.request_id = request_id
         self.grant = grant
         self.attempts: list[str] = []
         self.next_index = next_index
-        self.is_kept = True
+        self.retain_on_disconnect = True
 
     @property
     def target(self) -> Target:
-        """The engine that holds the generation."""
+        """The engine that is believed to hold the generation."""
         return self.grant.target
 
     async def run(
         self, open_stream: OpenStream, deliver: Deliver, first_token_s: float
     ) -> None:
-        """Deliver all tokens, resuming where the stream breaks.
+        """Deliver all tokens, resuming the stream when it breaks.
 
         Args:
-          open_stream: opens the first stream, given the attempt's id.
-          deliver: takes this relay and a block of whole events.
-          first_token_s: how long the first token may take.
+          open_stream: opens the first stream, given the id of the attempt.
+          deliver: takes this relay and a block of complete events.
+          first_token_s: the time limit of the first token.
 
         Raises:
-          TargetError: it broke for good; `next_index` tells how far it came.
+          TargetError: the stream failed and cannot be resumed; `next_index` is the
+            first token that was not delivered.
         """
-        with self._context.watchdog.watch(first_token_s, self._stalled) as waiting:
+        with self._context.watchdog.watch(first_token_s, self._on_stall) as engine_wait:
             failures = moves = 0
             while True:
                 reached = self._scanner.next_index
@@ -104,18 +107,18 @@
                     else:
                         self._stream = await open_stream(attempt_id)
                     self.attempts = [attempt_id]
-                    await self._pump(self._stream, deliver, waiting)
+                    await self._forward_tokens(self._stream, deliver, engine_wait)
                     return
                 except errors.TargetError as error:
                     if self._stream is None and not previous:
                         raise
-                    moved = moves < MAXIMUM_MOVES and self._follow(error)
+                    moved = moves < MAX_MOVES and self._follow_move(error)
                     moves += moved
                     failures = 0 if moved else failures + 1
                     if self._scanner.next_index > reached:
                         failures = 1
                     if not moved and self._is_final(error, failures):
-                        raise _after_a_start(error) from error
+                        raise _as_possibly_run(error) from error
                 finally:
                     self._close()
                 await self._back_off(failures)
@@ -141,22 +144,22 @@
         except errors.DeadlineExceededError:
             raise errors.TargetError("the engine did not resume in time") from None
 
-    async def _pump(
-        self, stream: EngineStream, deliver: Deliver, waiting: Progress
+    async def _forward_tokens(
+        self, stream: EngineStream, deliver: Deliver, engine_wait: WaitTracker
     ) -> None:
         scan = self._scanner.scan
         read = stream.read
         stall_limit_s = self._stall_limit_s()
         while not self._scanner.done:
-            waiting.active = True
+            engine_wait.active = True
             chunk = await read()
-            waiting.active = False
-            waiting.steps += 1
+            engine_wait.active = False
+            engine_wait.steps += 1
             if not chunk:
                 raise errors.TargetError("the stream ended before its end event")
             block = scan(chunk)
             if block.tokens:
-                waiting.limit_s = stall_limit_s
+                engine_wait.limit_s = stall_limit_s
                 self.grant.tokens(block.tokens)
                 await deliver(self, block.data)
                 self.next_index = self._scanner.next_index
@@ -166,7 +169,7 @@
         gap_s = self._service.gap_target_ms / 1000
         return max(settings.stall_s, settings.stall_gap_factor * gap_s)
 
-    def _stalled(self) -> None:
+    def _on_stall(self) -> None:
         events.emit(
             STREAM_STALLED,
             request_id=self.request_id,
@@ -174,7 +177,7 @@
             target=self.target.name,
             next_index=self._scanner.next_index,
         )
-        self._is_late = not self._scanner.next_index
+        self._is_first_token_late = not self._scanner.next_index
         self._close()
 
     def _is_final(self, error: errors.TargetError, failures: int) -> bool:
@@ -182,20 +185,23 @@
             return True
         if isinstance(error, errors.TargetRefusedError) and not self.next_index:
             return True
-        return self._is_late or failures > self._context.settings.resume_attempts
+        return (
+            self._is_first_token_late
+            or failures > self._context.settings.resume_attempts
+        )
 
     async def _back_off(self, failures: int) -> None:
         if failures:
             first_s = self._context.settings.resume_backoff_s
-            wait_s = min(first_s * 2 ** (failures - 1), BACKOFF_LIMIT_S)
+            wait_s = min(first_s * 2 ** (failures - 1), MAX_BACKOFF_S)
             await self._context.timer.sleep(wait_s)
 
     def _close(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
-    def _follow(self, error: errors.TargetError) -> bool:
-        """Turn to the engine that the generation was moved to, if any."""
+    def _follow_move(self, error: errors.TargetError) -> bool:
+        """Switch to the engine the generation was migrated to; return whether so."""
         moved_to = ""
         if isinstance(error, errors.TargetGoneError):
             moved_to = error.moved_to
@@ -211,7 +217,7 @@
         return True
 
     def change_target(self, target: Target) -> None:
-        """Go on at another engine that holds the generation now."""
+        """Switch to another engine, which now holds the generation."""
         events.emit(
             GENERATION_MOVED,
             request_id=self.request_id,
@@ -228,16 +234,16 @@
         self.grant = grant
 
     async def move(self, grant: Grant) -> None:
-        """Let the engine hand the generation to another one.
+        """Migrate the generation to another engine.
 
-        Without an answer it may have been handed over: the grant is kept, in
-        case that the engine cannot be reached any more.
+        If the engine does not reply, the migration may have happened. The new grant
+        is then kept, to be used if the engine becomes unreachable.
 
         Args:
-          grant: leave for the work at the other engine.
+          grant: the grant for the work at the other engine.
 
         Raises:
-          TargetError: it stays where it is.
+          TargetError: the engine declined; the generation stays where it is.
         """
         self._next_grant = grant
         try:
@@ -253,7 +259,7 @@
             return
 
     def finish(self, outcome: Outcome) -> None:
-        """Give the grant back, once."""
+        """Release the grants; further calls have no effect."""
         if self._finished:
             return
         self._finished = True
@@ -262,7 +268,11 @@
             self._next_grant.finished(Outcome.NOT_RUN)
 
     def cancel(self) -> None:
-        """Cancel the generation at its engine, unless another attempt took it."""
+        """Cancel the generation at its engine, in the background.
+
+        The engine ignores the cancellation if an attempt that is not in `attempts`
+        has taken the generation over.
+        """
         events.emit(
             GENERATION_CANCELLED,
             request_id=self.request_id,
@@ -276,8 +286,8 @@
         )
 
 
-def _after_a_start(error: errors.TargetError) -> errors.TargetError:
-    """Return an error that does not claim that nothing has run."""
+def _as_possibly_run(error: errors.TargetError) -> errors.TargetError:
+    """Replace a refusal, which implies that nothing has run, by a plain error."""
     if isinstance(error, errors.TargetRefusedError):
         return errors.TargetError(str(error))
     return error
--- a/endivesill/entry/service.py
+++ b/endivesill/entry/service.py
@@ -1,4 +1,4 @@
-"""The entry as a kernel service: its port and what it is wired to."""
+"""The entry as a kernel service: its port and its dependencies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from endivesill.control import ControlClient
 from endivesill.entry.admission import Admission
 from endivesill.entry.application import EntryApplication
-from endivesill.entry.background import Background
+from endivesill.entry.background import BackgroundTasks
 from endivesill.entry.budget import FixedRetryBudget, RetryBudget
 from endivesill.entry.claims import Claims
 from endivesill.entry.context import EntryContext
@@ -32,22 +32,22 @@
 
 
 class EntryService(Service):
-    """Runs the callers' port.
+    """Runs the client-facing port.
 
-    The kernel must hold the services `router` and `control`.
+    The services `router` and `control` must be registered in the kernel.
 
     Args:
-      kernel: the kernel to find other services in.
-      address: HOST:PORT for callers.
-      source: the configuration in force, with its lease.
+      kernel: the kernel to look up other services in.
+      address: HOST:PORT to listen on.
+      source: the configuration in force and its lease.
       keys: the peer keys, the same at all entries.
-      owner: this VM's instance, for the ledger.
-      settings: the entry's settings.
-      budget: how often failed attempts are made again.
+      owner: the instance id of this VM, recorded in ledger claims.
+      settings: the settings of the entry.
+      budget: the retry budget; a fixed number of attempts by default.
       metrics: counters and recorders of the process.
-      is_draining: tells whether a planned stop has begun.
-      accepts: tells whether new requests are taken.
-      is_gone: tells whether a VM instance is known to be gone.
+      is_draining: returns whether a graceful shutdown has begun.
+      accepts: returns whether new requests are accepted.
+      is_gone: returns whether a VM instance is known to be gone.
       options: further options of the listener, such as its TLS files.
     """
 
@@ -78,28 +78,28 @@
         self._accepts = accepts
         self._is_gone = is_gone
         self._options = options
-        self._background = Background()
+        self._background = BackgroundTasks()
         self._client = TargetClient(kernel.timer)
         self._server: HttpServer | None = None
         self.application: EntryApplication | None = None
 
     @property
     def address(self) -> str:
-        """The address in use, once started."""
+        """The bound address; before the start, the configured one."""
         return self._server.address if self._server else self._address
 
     @property
     def running(self) -> int:
-        """How many callers' requests have no answer yet."""
+        """The number of requests in progress."""
         return self.application.running if self.application else 0
 
     def target_leaving(self, target_name: str) -> None:
-        """Let an engine that goes away soon hand its generations to others."""
+        """Start migrating the generations of a departing engine, in the background."""
         if self.application is not None:
             self._background.spawn(self.application.move_generations(target_name))
 
     async def start(self) -> None:
-        """Open the port."""
+        """Open the port for client requests."""
         self.application = EntryApplication(self._context())
         self._server = HttpServer(self._address, self.application, **self._options)
         await self._server.start()
@@ -134,13 +134,13 @@
         )
 
     async def stop(self) -> None:
-        """Close the port once all answers have ended."""
+        """Close the port after all responses have completed."""
         if self._server is not None:
             await self._server.stop()
         await self._close()
 
     async def kill(self) -> None:
-        """Cut all connections at once, as a process that dies."""
+        """Abort all connections immediately, like a crashing process."""
         if self._server is not None:
             self._server.abort()
         if self.application is not None:
@@ -153,5 +153,5 @@
     async def _close(self) -> None:
         if self.application is not None:
             self.application.table.close()
-        await self._background.finish()
+        await self._background.wait_all()
         await self._client.close()
--- a/endivesill/entry/settings.py
+++ b/endivesill/entry/settings.py
@@ -13,70 +13,70 @@
 @settings_section("entry")
 @attrs.frozen
 class EntrySettings:
-    """How the entry treats streams and idempotency keys."""
+    """Stream recovery and idempotency keys at the entry."""
 
     stall_s: float = schema.field(
-        "longest silence of a stream before it is resumed on a new connection",
+        "stall timeout of a stream before it is resumed on a new connection",
         default=2.0,
         minimum=0.05,
         maximum=600,
     )
     stall_gap_factor: float = schema.field(
-        "the same in gap targets of the service; the larger bound holds",
+        "stall timeout in gap targets of the service; the larger timeout applies",
         default=8.0,
         minimum=2,
         maximum=1000,
     )
     resume_attempts: int = schema.field(
-        "tries to reach a stream's engine again before the stream is given up",
+        "attempts to resume a broken stream before it fails",
         default=5,
         minimum=1,
         maximum=100,
     )
     resume_backoff_s: float = schema.field(
-        "first wait before a stream is resumed; it doubles",
+        "first backoff before a stream is resumed; it doubles each time",
         default=0.1,
         minimum=0.001,
         maximum=60,
     )
     resume_window_s: float = schema.field(
-        "how long an engine keeps a generation whose caller's connection broke",
+        "how long a generation is retained after its caller disconnects",
         default=15.0,
         minimum=0,
         maximum=3600,
     )
     reconnect_timeout_s: float = schema.field(
-        "longest wait for an engine when a caller comes back for a stream",
+        "timeout of an engine when a caller reconnects to a stream",
         default=2.0,
         minimum=0.05,
         maximum=60,
     )
     ledger_shards: int = schema.field(
-        "shards of the idempotency keys; the same at all entries",
+        "shards of the idempotency key ledger; the same at all entries",
         default=1,
         minimum=1,
         maximum=1024,
     )
     ledger_timeout_s: float = schema.field(
-        "longest wait for the control state to claim an idempotency key",
+        "timeout of the control state for a claim of an idempotency key",
         default=2.0,
         minimum=0.1,
         maximum=60,
     )
     stored_answer_bytes: int = schema.field(
-        "largest answer kept for an idempotency key",
+        "largest response stored for an idempotency key",
         default=16_384,
         minimum=0,
         maximum=1_048_576,
     )
     stored_answers_bytes: int = schema.field(
-        "all answers kept for idempotency keys; the oldest give theirs up",
+        "limit on all stored responses together; the oldest are dropped first",
         default=33_554_432,
         minimum=0,
         maximum=1 << 30,
     )
     claim_margin_s: float = schema.field(
-        "how long a claim outlives its service's deadline",
+        "margin added to a claim's duration; also how long its outcome is retried",
         default=5.0,
         minimum=0.1,
         maximum=600,
--- a/endivesill/entry/table.py
+++ b/endivesill/entry/table.py
@@ -1,4 +1,4 @@
-"""The relays of an entry: those that run and those kept for a reconnect."""
+"""Relays of an entry: running ones and those retained for a reconnect."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class RelayTable:
-    """Runs relays and gives their grants back.
+    """Runs relays and releases their grants.
 
-    When a caller's connection breaks, its generation is kept for a window. The
-    cancel after it names the last attempt of this entry, so that the engine
-    ignores it if the caller came back through another entry.
+    When a caller disconnects, its generation is retained for a window and then
+    cancelled. The cancellation names the attempts of this entry, so that the engine
+    ignores it if the caller has reconnected through another entry.
 
     Args:
       timer: the timer service.
-      window_s: how long a generation is kept for a reconnect.
-      metrics: where delivered tokens are counted.
+      window_s: how long a generation is retained for a reconnect.
+      metrics: the metrics that count delivered tokens.
     """
 
     def __init__(self, timer: TimerService, window_s: float, metrics: Metrics) -> None:
@@ -33,15 +33,15 @@
         self._window_s = window_s
         self._is_closed = False
         self._running: set[Relay] = set()
-        self._kept: dict[str, tuple[Relay, TimerHandle]] = {}
+        self._retained: dict[str, tuple[Relay, TimerHandle]] = {}
 
-    def running_at(self, target_name: str) -> list[Relay]:
-        """Return the relays whose generation is at a target."""
+    def relays_at(self, target_name: str) -> list[Relay]:
+        """Return the running relays whose generation is at a target."""
         return [r for r in self._running if r.target.name == target_name]
 
-    def kept_count(self) -> int:
-        """Return how many generations are kept for a reconnect."""
-        return len(self._kept)
+    def retained_count(self) -> int:
+        """Return the number of generations retained for a reconnect."""
+        return len(self._retained)
 
     async def run(
         self,
@@ -50,10 +50,10 @@
         deliver: Deliver,
         first_token_s: float,
     ) -> None:
-        """Run a relay to its end; see `Relay.run`.
+        """Run a relay to its end and release its grant; see `Relay.run`.
 
         Raises:
-          TargetError: it broke for good.
+          TargetError: the stream failed and cannot be resumed.
         """
         self._running.add(relay)
         first_index = relay.next_index
@@ -61,7 +61,7 @@
             await relay.run(open_stream, deliver, first_token_s)
             relay.finish(Outcome.DONE)
         except asyncio.CancelledError:
-            self._leave(relay)
+            self._on_caller_gone(relay)
             raise
         except (errors.SupersededError, errors.RefusedError):
             relay.finish(Outcome.CANCELLED)
@@ -76,11 +76,11 @@
             self._tokens.add(relay.next_index - first_index)
             self._running.discard(relay)
 
-    def _leave(self, relay: Relay) -> None:
-        """Keep a generation that the caller can name, and cancel any other."""
-        is_named = relay.is_kept and relay.next_index > 0
-        if is_named and self._window_s and not self._is_closed:
-            self._keep(relay)
+    def _on_caller_gone(self, relay: Relay) -> None:
+        """Retain a generation whose id the caller has seen; cancel any other."""
+        is_resumable = relay.retain_on_disconnect and relay.next_index > 0
+        if is_resumable and self._window_s and not self._is_closed:
+            self._retain(relay)
             return
         self._cancel(relay, Outcome.CANCELLED)
 
@@ -89,7 +89,7 @@
             relay.cancel()
         relay.finish(outcome)
 
-    def _keep(self, relay: Relay) -> None:
+    def _retain(self, relay: Relay) -> None:
         events.emit(
             GENERATION_KEPT,
             request_id=relay.request_id,
@@ -101,28 +101,28 @@
         handle = self._timer.call_after(
             self._window_s, lambda: self._expire(generation_id)
         )
-        self._kept[generation_id] = (relay, handle)
+        self._retained[generation_id] = (relay, handle)
 
-    def take(self, generation_id: str) -> Relay | None:
-        """Return a kept generation to a caller that came back."""
-        relay, handle = self._kept.pop(generation_id, (None, None))
+    def take_retained(self, generation_id: str) -> Relay | None:
+        """Remove and return a retained relay, or None if there is none."""
+        relay, handle = self._retained.pop(generation_id, (None, None))
         if handle is not None:
             handle.cancel()
         return relay
 
     def _expire(self, generation_id: str) -> None:
-        relay = self.take(generation_id)
+        relay = self.take_retained(generation_id)
         if relay is not None:
             self._cancel(relay, Outcome.CANCELLED)
 
     def close(self) -> None:
-        """Leave all kept generations to their engines.
+        """Release all retained generations without cancelling them.
 
-        Their callers may come back through another entry; the engines end those
-        that nobody comes back for.
+        Their callers may reconnect through another entry. The engines cancel
+        generations to which no caller reconnects.
         """
         self._is_closed = True
-        for generation_id in list(self._kept):
-            relay = self.take(generation_id)
+        for generation_id in list(self._retained):
+            relay = self.take_retained(generation_id)
             if relay is not None:
                 relay.finish(Outcome.CANCELLED)
--- a/endivesill/entry/watchdog.py
+++ b/endivesill/entry/watchdog.py
@@ -1,8 +1,7 @@
-"""Bounds on waits of streams, with no timer for each token.
+"""Stall detection for streams without a timer per token.
 
-A stream notes its steps in a `Progress`; one periodic look over all of them
-finds those that have stood still for too long. A bound is kept to within the
-period of the look.
+A stream updates its `WaitTracker`s, and one periodic check finds those that have
+waited for too long. Limits are accurate to within the check period.
 """
 
 from __future__ import annotations
@@ -12,45 +11,52 @@
 
 from endivesill.timer import TimerHandle, TimerService
 
-__all__ = ["Progress", "Watchdog"]
+__all__ = ["WaitTracker", "Watchdog"]
 
-PERIOD_S = 0.1
+CHECK_PERIOD_S = 0.1
 
 
-class Progress:
-    """The waits of one stream for one party, its engine or its caller.
+class WaitTracker:
+    """Tracks the waits of one stream for its engine or its caller.
 
     Args:
-      limit_s: how long one wait may last.
-      expired: called when a wait has lasted that long.
+      limit_s: the time limit of one wait.
+      on_expired: called when a wait exceeds the limit.
 
     Attributes:
-      steps: the stream adds 1 after each wait.
-      active: whether the stream waits now.
+      steps: the number of completed waits, counted by the stream.
+      active: whether the stream is waiting now.
     """
 
-    __slots__ = ("active", "expired", "limit_s", "seen_s", "seen_steps", "steps")
+    __slots__ = (
+        "active",
+        "checked_s",
+        "checked_steps",
+        "limit_s",
+        "on_expired",
+        "steps",
+    )
 
-    def __init__(self, limit_s: float, expired: Callable[[], None]) -> None:
+    def __init__(self, limit_s: float, on_expired: Callable[[], None]) -> None:
         self.limit_s = limit_s
-        self.expired = expired
+        self.on_expired = on_expired
         self.steps = 0
         self.active = False
-        self.seen_steps = -1
-        self.seen_s = 0.0
+        self.checked_steps = -1
+        self.checked_s = 0.0
 
-    def look(self, now_s: float) -> None:
-        """Compare with the last look and expire if it is still the same wait."""
-        if not self.active or self.steps != self.seen_steps:
-            self.seen_steps = self.steps if self.active else -1
-            self.seen_s = now_s
-        elif now_s - self.seen_s >= self.limit_s:
-            self.seen_s = now_s
-            self.expired()
+    def check(self, now_s: float) -> None:
+        """Call `on_expired` if the same wait has lasted beyond the limit."""
+        if not self.active or self.steps != self.checked_steps:
+            self.checked_steps = self.steps if self.active else -1
+            self.checked_s = now_s
+        elif now_s - self.checked_s >= self.limit_s:
+            self.checked_s = now_s
+            self.on_expired()
 
 
 class Watchdog:
-    """Looks over all streams once a period.
+    """Checks all watched waits periodically.
 
     Args:
       timer: the timer service.
@@ -58,25 +64,27 @@
 
     def __init__(self, timer: TimerService) -> None:
         self._timer = timer
-        self._watched: set[Progress] = set()
+        self._watched: set[WaitTracker] = set()
         self._handle: TimerHandle | None = None
 
     @contextmanager
-    def watch(self, limit_s: float, expired: Callable[[], None]) -> Iterator[Progress]:
-        """Watch one stream while the context lasts."""
-        progress = Progress(limit_s, expired)
-        self._watched.add(progress)
+    def watch(
+        self, limit_s: float, on_expired: Callable[[], None]
+    ) -> Iterator[WaitTracker]:
+        """Watch the waits of one stream until the context exits."""
+        tracker = WaitTracker(limit_s, on_expired)
+        self._watched.add(tracker)
         if self._handle is None:
-            self._handle = self._timer.call_every(PERIOD_S, self._look)
+            self._handle = self._timer.call_every(CHECK_PERIOD_S, self._check_all)
         try:
-            yield progress
+            yield tracker
         finally:
-            self._watched.discard(progress)
+            self._watched.discard(tracker)
             if not self._watched and self._handle is not None:
                 self._handle.cancel()
                 self._handle = None
 
-    def _look(self) -> None:
+    def _check_all(self) -> None:
         now_s = self._timer.now_s()
-        for progress in tuple(self._watched):
-            progress.look(now_s)
+        for tracker in tuple(self._watched):
+            tracker.check(now_s)
--- a/tests/test_entry_plain.py
+++ b/tests/test_entry_plain.py
@@ -213,10 +213,10 @@
         url = await self.fleet.add_entry()
 
         async def start_and_fail(exchange, target_answer):
-            await exchange._answer.start(200, [])
+            await exchange._response.start(200, [])
             raise RuntimeError("as the test wants")
 
-        broken = mock.patch.object(PlainExchange, "_pass_on", start_and_fail)
+        broken = mock.patch.object(PlainExchange, "_forward_response", start_and_fail)
         with broken, self.assertRaises(aiohttp.ClientError):
             await self.book(url, Idempotency_Key="k")
         await until(lambda: not self.fleet.entries[0].application.running)
--- a/tests/test_entry_streams.py
+++ b/tests/test_entry_streams.py
@@ -210,10 +210,10 @@
     async def test_nobody_coming_back_cancels_after_the_window(self):
         await self.begin(self.urls[0], tokens=5000)
         table = self.fleet.entries[0].application.table
-        await until(lambda: table.kept_count() == 1)
+        await until(lambda: table.retained_count() == 1)
         self.assertEqual([], self.engine.cancelled)
         await until(lambda: self.engine.cancelled)
-        self.assertEqual(0, table.kept_count())
+        self.assertEqual(0, table.retained_count())
 
     async def test_a_finished_generation_can_be_read_to_its_end(self):
         _, text = await self.stream(self.urls[0], max_tokens=10)
@@ -319,4 +319,4 @@
         self.assertLess(len(flooded), 1000)
         self.assertIn("reader-stalled", self.seen)
         self.assertNotIn("stream-stalled", self.seen)
-        self.assertEqual(0, self.fleet.entries[0].application.table.kept_count())
+        self.assertEqual(0, self.fleet.entries[0].application.table.retained_count())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,12 +12,12 @@
 from endivesill.configuration.model import Limits, Organisation, Service
 from endivesill.control import CommandContext, LocalControl, State
 from endivesill.control.commands import run_command, run_query
-from endivesill.entry.background import Background
+from endivesill.entry.background import BackgroundTasks
 from endivesill.entry.claims import (
+    ClaimResult,
     Claims,
     ClaimState,
-    Result,
-    StoredAnswer,
+    StoredResponse,
     request_digest,
 )
 from endivesill.entry.ledger import make_ledger_id, shard_of
@@ -191,7 +191,7 @@
     def setUp(self):
         self.timer = ManualTimer()
         self.control = LocalControl(self.timer)
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.gone = set()
         self.first, self.second = self.claims("vm-1"), self.claims("vm-2")
         self.digest = request_digest("POST", "/bookings", b"x")
@@ -219,11 +219,11 @@
         waiting = asyncio.ensure_future(self.claim(self.second))
         await self.timer.advance(0.5)
         self.assertFalse(waiting.done())
-        answer = StoredAnswer(201, (("x", "y"),), b"\x00body")
-        await self.first.finish(claim, Result.DONE, answer)
+        answer = StoredResponse(201, (("x", "y"),), b"\x00body")
+        await self.first.finish(claim, ClaimResult.DONE, answer)
         await self.timer.advance(1.0)
         found = await waiting
-        self.assertEqual((ClaimState.DONE, answer), (found.state, found.answer))
+        self.assertEqual((ClaimState.DONE, answer), (found.state, found.response))
 
     async def test_waiting_ends_at_the_deadline(self):
         await self.claim(self.first)
@@ -241,7 +241,7 @@
         claim = await self.claim(self.first)
         waiting = asyncio.ensure_future(self.claim(self.second))
         await self.timer.advance(0.5)
-        await self.first.finish(claim, Result.RELEASED)
+        await self.first.finish(claim, ClaimResult.RELEASED)
         await self.timer.advance(1.0)
         self.assertEqual(ClaimState.CLAIMED, (await waiting).state)
 
@@ -270,7 +270,7 @@
     async def test_an_outcome_that_could_not_be_recorded_is_recorded_later(self):
         claim = await self.claim(self.first)
         self.control.failure = errors.UnavailableError("no leader")
-        await self.first.finish(claim, Result.DONE, StoredAnswer(200, (), b""))
+        await self.first.finish(claim, ClaimResult.DONE, StoredResponse(200, (), b""))
         self.control.failure = None
         before = copy.deepcopy(self.control.state)
         await self.timer.advance(1.0)
