--- a/endivesill/orders/commands.py
+++ b/endivesill/orders/commands.py
@@ -1,8 +1,9 @@
-"""Orders in the replicated state: the orderers' leases, records, load rates.
+"""Replicated state of orders: orderer leases, order records and load rate limits.
 
-A lease has no time in the state. Its holder counts it on its own clock from
-before it asked; another VM may take it over only at the renewal that it saw a
-whole lease earlier by its own clock. So no clock is compared with another one.
+The state holds no expiry time of a lease. The holder measures the lease on its own
+clock, from before it sent the request. Another VM may take the lease over only if
+the renewal count is still the one that it read a full lease earlier by its own
+clock. So clocks of different VMs are never compared.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from endivesill.orders.messages import LOAD_KINDS, OrderKind, OrderState
 from endivesill.peers import Message
 
-__all__ = ["RECORDS_KEPT"]
+__all__ = ["MAX_RECORDS"]
 
-RECORDS_KEPT = 5000
-LOADS_AT_ONCE = 1.0
+MAX_RECORDS = 5000
+LOAD_BURST = 1.0
 SECONDS_PER_MINUTE = 60.0
 LEASES = "orderers"
 RECORDS = "orders"
@@ -31,13 +32,13 @@
 
 @query("orderer.current")
 def orderer_current(state: State, message: Message) -> Message:
-    """Return who gives the orders of `data_centre`: holder, token, renewals."""
+    """Return the orderer lease of `data_centre`: holder, token and renewals."""
     return dict(_lease(state, message["data_centre"]))
 
 
 @command("orderer.acquire")
 def orderer_acquire(state: State, message: Message, context: CommandContext) -> Message:
-    """Take a lease that is free or still as it was seen a lease's time ago."""
+    """Grant a lease that is free or unchanged since the given token and renewals."""
     lease = _lease(state, message["data_centre"])
     seen = (message["seen_token"], message["seen_renewals"])
     if lease["holder"] and (lease["token"], lease["renewals"]) != seen:
@@ -52,7 +53,7 @@
 
 @command("orderer.renew")
 def orderer_renew(state: State, message: Message, context: CommandContext) -> Message:
-    """Renew the lease with that token."""
+    """Renew the lease if it still has the given token."""
     lease = _lease(state, message["data_centre"])
     if not lease["holder"] or lease["token"] != message["token"]:
         return {"granted": False}
@@ -62,7 +63,7 @@
 
 @command("orderer.release")
 def orderer_release(state: State, message: Message, context: CommandContext) -> Message:
-    """Give the lease with that token back."""
+    """Release the lease if it still has the given token."""
     lease = _lease(state, message["data_centre"])
     if lease["token"] == message["token"]:
         lease["holder"] = ""
@@ -74,8 +75,9 @@
     """Record an order before it is sent.
 
     Returns:
-      `status`: `new` (it may be sent, once), `known` (with the `record`),
-      `old-token` or `wait` (with `wait_s`).
+      `status`: `new` (the order may be sent, once), `known` (with the existing
+      `record`), `old-token` (the lease is lost) or `wait` (rate limited, with
+      `wait_s`).
     """
     records = state.section(RECORDS)
     record = records.get(message["order_id"])
@@ -86,53 +88,55 @@
     if not lease["holder"] or lease["token"] != message["token"]:
         return {"status": "old-token"}
     if OrderKind(message["kind"]) in LOAD_KINDS:
-        wait_s = _take_load(state, data_centre, message["loads_per_minute"], context)
+        wait_s = _take_load_token(
+            state, data_centre, message["loads_per_minute"], context
+        )
         if wait_s > 0:
             return {"status": "wait", "wait_s": wait_s}
     fields = ("order_id", "target", "kind", "subject", "version", "token")
     record = {name: message[name] for name in (*fields, "data_centre")}
     records[message["order_id"]] = {**record, "state": OrderState.SENT.value}
-    _drop_old(records)
+    _evict_finished(records)
     return {"status": "new"}
 
 
-def _take_load(
+def _take_load_token(
     state: State, data_centre: str, loads_per_minute: float, context: CommandContext
 ) -> float:
-    """Take one load from the token bucket; return how long to wait, or 0."""
+    """Take one load from the token bucket; return the time to wait, or 0."""
     rate = loads_per_minute / SECONDS_PER_MINUTE
     buckets = state.section(RATES)
-    full = {"loads": LOADS_AT_ONCE, "time_s": context.time_s}
-    bucket = buckets.setdefault(data_centre, full)
-    passed_s = max(0.0, context.time_s - bucket["time_s"])
-    bucket["loads"] = min(LOADS_AT_ONCE, bucket["loads"] + passed_s * rate)
+    new_bucket = {"loads": LOAD_BURST, "time_s": context.time_s}
+    bucket = buckets.setdefault(data_centre, new_bucket)
+    elapsed_s = max(0.0, context.time_s - bucket["time_s"])
+    bucket["loads"] = min(LOAD_BURST, bucket["loads"] + elapsed_s * rate)
     bucket["time_s"] = max(bucket["time_s"], context.time_s)
-    if bucket["loads"] < LOADS_AT_ONCE - 1e-9:
-        return (LOADS_AT_ONCE - bucket["loads"]) / rate
-    bucket["loads"] -= LOADS_AT_ONCE
+    if bucket["loads"] < LOAD_BURST - 1e-9:
+        return (LOAD_BURST - bucket["loads"]) / rate
+    bucket["loads"] -= LOAD_BURST
     return 0.0
 
 
-def _drop_old(records: dict[str, Any]) -> None:
-    """Drop the oldest orders that have ended."""
-    surplus = len(records) - RECORDS_KEPT
-    if surplus <= 0:
+def _evict_finished(records: dict[str, Any]) -> None:
+    """Evict the oldest finished orders beyond the limit."""
+    excess = len(records) - MAX_RECORDS
+    if excess <= 0:
         return
-    ended = [
+    finished_ids = [
         order_id
         for order_id, record in records.items()
         if record["state"] != OrderState.SENT.value
     ]
-    for order_id in ended[:surplus]:
+    for order_id in finished_ids[:excess]:
         del records[order_id]
 
 
 @command("orders.done")
 def orders_done(state: State, message: Message, context: CommandContext) -> Message:
-    """Record the outcome of an order; the first one stays.
+    """Record the outcome of an order; only the first outcome counts.
 
     Returns:
-      `record`, or nothing if the order is unknown or the token is old.
+      `record`, or nothing if the order is unknown or the token is stale.
     """
     record = state.section(RECORDS).get(message["order_id"])
     if record is None:
@@ -147,7 +151,7 @@
 
 @query("orders.pending")
 def orders_pending(state: State, message: Message) -> Message:
-    """Return the orders of `data_centre` whose outcome is not recorded."""
+    """Return the orders of `data_centre` that have no recorded outcome."""
     records = [
         dict(record)
         for record in state.section(RECORDS).values()
--- a/endivesill/orders/lease.py
+++ b/endivesill/orders/lease.py
@@ -1,9 +1,9 @@
-"""The orderer's lease: who may give the orders of a data centre.
+"""The orderer lease, which allows one VM to issue the orders of a data centre.
 
-The holder counts its lease from before it sent the proposal that the log granted.
-A VM that wants it looks at the lease, waits a whole lease and a margin by its own
-clock, and then takes it only if it was not renewed since. The clocks need not
-agree; they must only run at nearly the same rate, also while a VM is suspended.
+The holder measures its lease from before it sent the proposal that was granted. A
+VM that wants the lease reads it, waits for a full lease and a margin by its own
+clock, and then takes it over only if it has not been renewed since. Clocks need not
+be synchronised, but must run at nearly the same rate, also while a VM is suspended.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 __all__ = ["OrdererLease"]
 
 CLOCK_RATE_MARGIN = 0.02
-CLOCK_MARGIN_S = 0.5
+TAKEOVER_MARGIN_S = 0.5
 PROPOSE_TIMEOUT_S = 3.0
 RENEWALS_PER_LEASE = 3
 
 
 class OrdererLease:
-    """One VM's part in the lease of a data centre.
+    """One VM's view of the orderer lease of a data centre.
 
     Args:
       timer: the timer service.
-      control: the replicated state.
-      data_centre: whose orders it is for.
-      holder: this process: the VM's name and its instance id.
-      lease_s: the duration, equal on all VMs.
+      control: the client of the replicated state.
+      data_centre: the name of the data centre.
+      holder: the id of this process: VM name and instance id.
+      lease_s: the duration of the lease, equal on all VMs.
 
     Attributes:
-      token: the fencing token; 0 without a lease.
+      token: the fencing token; 0 while this VM does not hold the lease.
     """
 
     def __init__(
@@ -52,17 +52,21 @@
         self.token = 0
 
     def remaining_s(self) -> float:
-        """Return how long orders may still be given; asked just before each."""
+        """Return the remaining lease time; check it just before sending an order."""
         if not self.token:
             return 0.0
         return max(0.0, self._expires_s - self._timer.now_s())
 
     async def acquire(self) -> bool:
-        """Try to become the orderer, waiting out the one before.
+        """Try to acquire the lease, after waiting for the current one to expire.
+
+        Returns:
+          Whether the lease was granted.
 
         Raises:
           UnavailableError: no quorum.
-          OutcomeUnknownError: another try will wait out this one.
+          OutcomeUnknownError: the lease may have been granted; a further attempt
+            waits for it to expire.
         """
         seen = await self._control.query(
             "orderer.current", {"data_centre": self.data_centre}, PROPOSE_TIMEOUT_S
@@ -71,52 +75,52 @@
             events.emit(
                 ORDERER_WAITING, data_centre=self.data_centre, holder=seen["holder"]
             )
-            await self._timer.sleep(self.waiting_s())
+            await self._timer.sleep(self.takeover_delay_s())
         started_s = self._timer.now_s()
-        answer = await self._propose(
+        response = await self._propose(
             "orderer.acquire",
             holder=self.holder,
             seen_token=seen["token"],
             seen_renewals=seen["renewals"],
         )
-        if not answer["granted"]:
+        if not response["granted"]:
             return False
-        self.token = answer["token"]
+        self.token = response["token"]
         self._expires_s = started_s + self._lease_s
         events.emit(ORDERER_ACQUIRED, data_centre=self.data_centre, token=self.token)
         return True
 
-    def waiting_s(self) -> float:
-        """Return how long a lease that was just seen may still be held."""
-        return self._lease_s * (1 + CLOCK_RATE_MARGIN) + CLOCK_MARGIN_S
+    def takeover_delay_s(self) -> float:
+        """Return how long to wait before a lease that was just read is taken over."""
+        return self._lease_s * (1 + CLOCK_RATE_MARGIN) + TAKEOVER_MARGIN_S
 
     async def renew(self) -> bool:
-        """Renew once; return whether the lease is still held."""
+        """Renew the lease once; return whether it is still held."""
         started_s = self._timer.now_s()
         try:
-            answer = await self._propose("orderer.renew", token=self.token)
+            response = await self._propose("orderer.renew", token=self.token)
         except (errors.UnavailableError, errors.OutcomeUnknownError):
-            return self._check("no quorum")
-        if not answer["granted"]:
+            return self._check_held("no quorum")
+        if not response["granted"]:
             self._expires_s = float("-inf")
-            return self._check("another orderer")
+            return self._check_held("taken over by another orderer")
         self._expires_s = max(self._expires_s, started_s + self._lease_s)
-        return self._check("renewed too late")
+        return self._check_held("expired before the renewal was granted")
 
     async def renew_until_lost(self) -> None:
-        """Renew until the lease is lost."""
-        while self._check("expired"):
+        """Renew the lease periodically; return once it is lost."""
+        while self._check_held("expired"):
             await self._timer.sleep(self._lease_s / RENEWALS_PER_LEASE)
-            if self._check("expired"):
+            if self._check_held("expired"):
                 await self.renew()
 
     async def release(self) -> None:
-        """Give the lease back, so that the next orderer need not wait."""
+        """Release the lease, so that the next orderer need not wait."""
         token, self.token = self.token, 0
         if token:
             await self._propose("orderer.release", token=token)
 
-    def _check(self, reason: str) -> bool:
+    def _check_held(self, reason: str) -> bool:
         if self.remaining_s() > 0:
             return True
         if self.token:
--- a/endivesill/orders/messages.py
+++ b/endivesill/orders/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of orders, and how they stand in the replicated state."""
+"""Typed order messages and their form in the replicated state."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     "OrderRecord",
     "OrderRequest",
     "OrderState",
-    "shows_order",
+    "is_order_applied",
 ]
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be ordered to do."""
+    """Kind of an order."""
 
     LOAD_MODEL = "load-model"
     LOAD_ADAPTER = "load-adapter"
@@ -33,11 +33,12 @@
 
 
 class OrderState(enum.Enum):
-    """How far an order is.
+    """State of an order.
 
-    SENT: it may be on its way. DONE: the engine has done it. REFUSED: the engine
-    did not take it. NOT_SENT: no byte of it went out. UNSEEN: the engine never
-    showed it; it is not sent again, a new order may be given.
+    SENT: it may have been sent; the outcome is not known. DONE: the engine applied
+    it. REFUSED: the engine rejected it. NOT_SENT: no byte of it was sent. UNSEEN:
+    the engine's reports never showed it as applied; it is not sent again, but a
+    new order may be issued.
     """
 
     SENT = "sent"
@@ -49,14 +50,14 @@
 
 @attrs.frozen
 class OrderRequest:
-    """An order that somebody wants an engine to get.
+    """A request to issue an order to an engine.
 
     Attributes:
-      order_id: the same for each try; an id runs once.
-      target: the engine's name.
-      kind: what to do.
+      order_id: the id, the same for each retry; an id is sent at most once.
+      target: the name of the engine.
+      kind: the kind of the order.
       subject: the model, adapter or role.
-      version: the version to load; empty for a role.
+      version: the version to load; empty for any version or for a role.
     """
 
     order_id: str
@@ -66,17 +67,17 @@
     version: str = ""
 
     def to_message(self) -> Message:
-        """Return the request's JSON object."""
+        """Return the request as a JSON object."""
         message = attrs.asdict(self)
         message["kind"] = self.kind.value
         return message
 
     @classmethod
     def from_message(cls, message: Message) -> OrderRequest:
-        """Read a JSON object.
+        """Decode a JSON object.
 
         Raises:
-          PeerMessageError: it is no order.
+          PeerMessageError: the object is not a valid order.
         """
         try:
             return cls(
@@ -87,10 +88,10 @@
                 str(message.get("version", "")),
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise errors.PeerMessageError(f"no order: {error!r}") from None
+            raise errors.PeerMessageError(f"malformed order: {error!r}") from None
 
     def to_order(self, fencing_token: int) -> Order:
-        """Return what goes to the engine."""
+        """Return the order as sent to the engine."""
         return Order(
             self.order_id, fencing_token, self.kind.value, self.subject, self.version
         )
@@ -98,12 +99,12 @@
 
 @attrs.frozen
 class OrderRecord:
-    """An order as the replicated state keeps it.
+    """An order as stored in the replicated state.
 
     Attributes:
-      request: what was ordered.
-      token: the fencing token that it went out with.
-      state: how far it is.
+      request: the request.
+      token: the fencing token with which the order was recorded.
+      state: the state of the order.
     """
 
     request: OrderRequest
@@ -111,30 +112,32 @@
     state: OrderState
 
     def to_message(self) -> Message:
-        """Return the record's JSON object."""
+        """Return the record as a JSON object."""
         message = self.request.to_message()
         return {**message, "token": self.token, "state": self.state.value}
 
     @classmethod
     def from_message(cls, message: Message) -> OrderRecord:
-        """Read a JSON object.
+        """Decode a JSON object.
 
         Raises:
-          PeerMessageError: it is no record.
+          PeerMessageError: the object is not a valid record.
         """
         request = OrderRequest.from_message(message)
         try:
             state = OrderState(message["state"])
             return cls(request, int(message["token"]), state)
         except (KeyError, TypeError, ValueError) as error:
-            raise errors.PeerMessageError(f"no order record: {error!r}") from None
+            raise errors.PeerMessageError(
+                f"malformed order record: {error!r}"
+            ) from None
 
 
-def shows_order(report: LoadReport, request: OrderRequest) -> bool | None:
-    """Tell whether an engine's state shows that an order was carried out.
+def is_order_applied(report: LoadReport, request: OrderRequest) -> bool | None:
+    """Return whether an engine's report shows that an order was applied.
 
     Returns:
-      None if the engine names what was loaded without its version, so that it
+      None if the engine reports the model or adapter without a version, so that it
       may be an older one.
     """
     if request.kind is OrderKind.CHANGE_ROLE:
--- a/endivesill/orders/orderer.py
+++ b/endivesill/orders/orderer.py
@@ -1,8 +1,9 @@
-"""Giving orders to engines, each id once.
+"""At-most-once delivery of orders to engines.
 
 An order is recorded in the replicated state before it is sent, and it is sent at
-most once: where its answer is lost, or its orderer dies, the engine's state is
-read back to learn the outcome. A resent or raced order finds the record.
+most once. If its response is lost or the orderer fails, the engine's load reports
+are read to determine the outcome. A repeated or concurrent request with the same id
+finds the record.
 """
 
 from __future__ import annotations
@@ -26,41 +27,41 @@
     OrderRecord,
     OrderRequest,
     OrderState,
-    shows_order,
+    is_order_applied,
 )
 from endivesill.orders.settings import OrderSettings
 from endivesill.targets.messages import LoadReport, Order
 from endivesill.timer import TimerService
 
-__all__ = ["EngineOrders", "Orderer"]
+__all__ = ["EngineOrderClient", "Orderer"]
 
 ORDER_TIMEOUT_S = 2.0
-SETTLE_MARGIN_S = 1.0
-SEND_LEAST_LEASE_S = ORDER_TIMEOUT_S + SETTLE_MARGIN_S
+OUTCOME_RECORD_MARGIN_S = 1.0
+MIN_LEASE_TO_SEND_S = ORDER_TIMEOUT_S + OUTCOME_RECORD_MARGIN_S
 READ_BACK_PERIOD_S = 1.0
 REPORT_LAG_S = 2.0
 
 
-class EngineOrders(Protocol):
-    """The part of an engine's adapter that orders need."""
+class EngineOrderClient(Protocol):
+    """The part of an engine adapter that orders need."""
 
     async def order(self, target: Target, order: Order) -> LoadReport:
-        """Give an order and return the state after it."""
+        """Send an order and return the engine's report after it."""
 
     async def load(self, target: Target) -> LoadReport:
-        """Return the engine's state."""
+        """Return the current report of an engine."""
 
 
 class Orderer:
-    """Gives the orders of one data centre while it holds the lease.
+    """Issues the orders of one data centre while this VM holds the lease.
 
     Args:
       timer: the timer service.
-      control: the replicated state.
-      lease: the lease of the data centre.
+      control: the client of the replicated state.
+      lease: the orderer lease of the data centre.
       configuration: returns the configuration in force.
       engines: the adapter to the engines.
-      settings: how long an engine may take.
+      settings: the settings; `read_back_s` limits how long an engine may take.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         control: ControlClient,
         lease: OrdererLease,
         configuration: Callable[[], Configuration],
-        engines: EngineOrders,
+        engines: EngineOrderClient,
         settings: OrderSettings,
     ) -> None:
         self._timer = timer
@@ -82,24 +83,24 @@
         self._locks: dict[str, asyncio.Lock] = {}
 
     def is_idle(self) -> bool:
-        """Tell whether no order is under way."""
+        """Return whether no order is in progress."""
         return not self._running
 
     async def close(self) -> None:
-        """Give up what is under way; the next orderer learns its outcome."""
+        """Cancel orders in progress; the next orderer resolves their outcomes."""
         tasks = list(self._running.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def issue(self, request: OrderRequest) -> OrderRecord:
-        """Give an order, or return the first answer to its id.
+        """Issue an order, or return the record if its id was issued before.
 
         Raises:
-          UnavailableError: this VM is not the orderer, or has just stopped being
-            it; the same id may be given again.
-          OrderError: there is no such engine here, or the id belongs to another
-            order.
+          UnavailableError: this VM is not, or no longer, the orderer; the request
+            may be retried with the same id.
+          OrderError: the data centre has no such engine, or the id belongs to a
+            different order.
         """
         self._target(request)
         task = self._running.get(request.order_id)
@@ -113,13 +114,13 @@
         return record
 
     async def resolve_pending(self) -> None:
-        """Find out what became of the orders of the orderer before."""
-        answer = await self._control.query(
+        """Resolve the outcomes of orders that a previous orderer left pending."""
+        response = await self._control.query(
             "orders.pending",
             {"data_centre": self._lease.data_centre},
             PROPOSE_TIMEOUT_S,
         )
-        records = [OrderRecord.from_message(row) for row in answer["records"]]
+        records = [OrderRecord.from_message(row) for row in response["records"]]
         await asyncio.gather(*(self._resolve(record) for record in records))
 
     def _target(self, request: OrderRequest) -> Target:
@@ -133,18 +134,18 @@
     async def _issue(self, request: OrderRequest) -> OrderRecord:
         lock = self._locks.setdefault(request.target, asyncio.Lock())
         async with lock:
-            known = await self._put(request)
-            if known is not None:
+            existing = await self._record_request(request)
+            if existing is not None:
                 events.emit(ORDER_REPEATED, order_id=request.order_id)
-                if known.state is OrderState.SENT and known.request == request:
-                    return await self._resolve(known)
-                return known
+                if existing.state is OrderState.SENT and existing.request == request:
+                    return await self._resolve(existing)
+                return existing
             return await self._send(request)
 
-    async def _put(self, request: OrderRequest) -> OrderRecord | None:
-        """Record an order; return its record if it was there before."""
+    async def _record_request(self, request: OrderRequest) -> OrderRecord | None:
+        """Record an order; return its record if it already existed."""
         while True:
-            if self._lease.remaining_s() < SEND_LEAST_LEASE_S:
+            if self._lease.remaining_s() < MIN_LEASE_TO_SEND_S:
                 raise errors.UnavailableError("this VM does not give the orders")
             limits = self._configuration().limits
             message = {
@@ -153,27 +154,28 @@
                 "token": self._lease.token,
                 "loads_per_minute": limits.weight_store_loads_per_minute,
             }
-            answer = await self._control.propose(
+            response = await self._control.propose(
                 "orders.put", message, PROPOSE_TIMEOUT_S
             )
-            status = answer["status"]
+            status = response["status"]
             if status == "known":
-                return OrderRecord.from_message(answer["record"])
+                return OrderRecord.from_message(response["record"])
             if status == "new":
                 return None
             if status == "old-token":
                 raise errors.UnavailableError("another VM gives the orders")
             events.emit(
-                ORDER_DELAYED, order_id=request.order_id, wait_s=answer["wait_s"]
+                ORDER_DELAYED, order_id=request.order_id, wait_s=response["wait_s"]
             )
-            await self._timer.sleep(answer["wait_s"])
+            await self._timer.sleep(response["wait_s"])
 
     async def _send(self, request: OrderRequest) -> OrderRecord:
         target = self._target(request)
-        # The check and the send stand together: nothing is awaited in between.
-        if self._lease.remaining_s() < SEND_LEAST_LEASE_S:
+        # Nothing may be awaited between this check and the send, so that the lease
+        # is still valid when the order is sent.
+        if self._lease.remaining_s() < MIN_LEASE_TO_SEND_S:
             events.emit(ORDER_WITHHELD, order_id=request.order_id)
-            return await self._record(request, OrderState.NOT_SENT)
+            return await self._record_outcome(request, OrderState.NOT_SENT)
         token = self._lease.token
         events.emit(
             ORDER_SENT,
@@ -184,68 +186,74 @@
             version=request.version,
             token=token,
         )
-        answered = False
+        acknowledged = False
         try:
             report = await self._timer.wait_for(
                 self._engines.order(target, request.to_order(token)), ORDER_TIMEOUT_S
             )
-            answered = True
-            if target.checks_fencing and shows_order(report, request) is not False:
-                return await self._record(request, OrderState.DONE)
+            acknowledged = True
+            if target.checks_fencing and is_order_applied(report, request) is not False:
+                return await self._record_outcome(request, OrderState.DONE)
         except errors.TargetRefusedError:
-            return await self._record(request, OrderState.REFUSED)
+            return await self._record_outcome(request, OrderState.REFUSED)
         except (errors.TargetError, errors.DeadlineExceededError):
             pass
-        return await self._record(
-            request, await self._read_back(target, request, answered)
+        return await self._record_outcome(
+            request, await self._read_back(target, request, acknowledged)
         )
 
     async def _resolve(self, record: OrderRecord) -> OrderRecord:
-        """Learn the outcome of an order that was recorded and perhaps sent."""
+        """Determine the outcome of an order that was recorded and perhaps sent."""
         target = self._configuration().targets.get(record.request.target)
         state = OrderState.UNSEEN
         if target is not None:
-            state = await self._read_back(target, record.request, answered=False)
-        return await self._record(record.request, state)
+            state = await self._read_back(target, record.request, acknowledged=False)
+        return await self._record_outcome(record.request, state)
 
     async def _read_back(
-        self, target: Target, request: OrderRequest, answered: bool
+        self, target: Target, request: OrderRequest, acknowledged: bool
     ) -> OrderState:
-        """Read an engine's state until it shows an order, or for long enough.
+        """Poll the reports of an engine until one shows the order, or a timeout.
 
         Args:
           target: the engine.
           request: the order.
-          answered: the engine has said that it took the order.
+          acknowledged: whether the engine has acknowledged the order.
         """
         started_s = self._timer.now_s()
         while True:
             try:
                 report = await self._engines.load(target)
-                shown = shows_order(report, request)
+                applied = is_order_applied(report, request)
             except errors.TargetError:
-                shown = False
+                applied = False
             waited_s = self._timer.now_s() - started_s
-            if shown or (shown is None and answered and waited_s >= REPORT_LAG_S):
+            if applied or (
+                applied is None and acknowledged and waited_s >= REPORT_LAG_S
+            ):
                 return OrderState.DONE
             if waited_s >= self._settings.read_back_s:
                 return OrderState.UNSEEN
             await self._timer.sleep(READ_BACK_PERIOD_S)
 
-    async def _record(self, request: OrderRequest, state: OrderState) -> OrderRecord:
-        """Record an outcome and return the one that counts.
+    async def _record_outcome(
+        self, request: OrderRequest, state: OrderState
+    ) -> OrderRecord:
+        """Record an outcome; return the record with the first recorded outcome.
 
         Raises:
-          UnavailableError: another orderer will find out and record it.
+          UnavailableError: another VM is the orderer now and resolves the order.
         """
         message = {
             "order_id": request.order_id,
             "token": self._lease.token,
             "state": state.value,
         }
-        answer = await self._control.propose("orders.done", message, PROPOSE_TIMEOUT_S)
-        if "record" not in answer:
+        response = await self._control.propose(
+            "orders.done", message, PROPOSE_TIMEOUT_S
+        )
+        if "record" not in response:
             raise errors.UnavailableError("another VM gives the orders")
-        record = OrderRecord.from_message(answer["record"])
+        record = OrderRecord.from_message(response["record"])
         events.emit(ORDER_ENDED, order_id=request.order_id, state=record.state.value)
         return record
--- a/endivesill/orders/placement.py
+++ b/endivesill/orders/placement.py
@@ -1,4 +1,4 @@
-"""The placement loop: moves models and roles when demand has shifted for a while."""
+"""The placement loop: reassigns models and roles when a demand shift persists."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 __all__ = ["PlacementLoop"]
 
 IDLE_POLL_S = 1.0
-IDLE_REPORTS = 3
+MIN_IDLE_REPORTS = 3
 
-Demands = Callable[[], Mapping[str, ServiceDemand]]
-Reports = Callable[[], Mapping[str, LoadReport]]
-Give = Callable[[OrderRequest], Awaitable[OrderRecord]]
-Withhold = Callable[[str, bool], Awaitable[None]]
+GetDemands = Callable[[], Mapping[str, ServiceDemand]]
+GetReports = Callable[[], Mapping[str, LoadReport]]
+IssueOrder = Callable[[OrderRequest], Awaitable[OrderRecord]]
+WithholdNewWork = Callable[[str, bool], Awaitable[None]]
 
 
 class PlacementLoop:
-    """Decides for one data centre, at the VM that gives its orders.
+    """Decides on placement in one data centre, on the VM that is its orderer.
 
     Args:
       timer: the timer service.
-      data_centre: the data centre.
+      data_centre: the name of the data centre.
       configuration: returns the configuration in force.
       demands: returns the demand by service.
-      reports: returns the newest load report by target.
-      give: gives an order.
-      withhold: keeps new work from a target, or lets it have some again.
-      token: returns the orderer's fencing token; 0 while this VM is not it.
-      settings: how long a shift must last.
+      reports: returns the latest load report by target.
+      issue_order: issues an order.
+      withhold_new_work: stops (True) or resumes (False) new work at a target.
+      token: returns the orderer's fencing token; 0 while this VM is not orderer.
+      settings: the settings of placement.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         timer: TimerService,
         data_centre: str,
         configuration: Callable[[], Configuration],
-        demands: Demands,
-        reports: Reports,
-        give: Give,
-        withhold: Withhold,
+        demands: GetDemands,
+        reports: GetReports,
+        issue_order: IssueOrder,
+        withhold_new_work: WithholdNewWork,
         token: Callable[[], int],
         settings: OrderSettings,
     ) -> None:
@@ -71,30 +71,30 @@
         self._configuration = configuration
         self._demands = demands
         self._reports = reports
-        self._give = give
-        self._withhold = withhold
+        self._issue_order = issue_order
+        self._withhold_new_work = withhold_new_work
         self._token = token
         self._settings = settings
-        self._motives_since_s: dict[tuple[str, str], float] = {}
+        self._triggered_since_s: dict[tuple[str, str], float] = {}
         self._last_move_s = float("-inf")
-        self._orders_given = 0
+        self._issued_orders = 0
 
     async def run(self) -> None:
-        """Decide for ever."""
+        """Run placement decisions periodically until cancelled."""
         while True:
             await self._timer.sleep(self._settings.placement_period_s)
             if self._token():
                 await self.step()
             else:
-                self._motives_since_s.clear()
+                self._triggered_since_s.clear()
 
     async def step(self) -> Decision | None:
-        """Decide once; return what was carried out."""
+        """Make one decision and execute it; return it, or None if there is none."""
         engines = self._engines()
         demands = self._demands()
-        wanted = [plan_move(engines, demands), plan_role(engines, demands)]
-        decisions = [decision for decision in wanted if decision is not None]
-        decision = self._ripe(decisions)
+        proposed = [plan_move(engines, demands), plan_role(engines, demands)]
+        decisions = [decision for decision in proposed if decision is not None]
+        decision = self._select_due(decisions)
         if decision is None:
             return None
         events.emit(
@@ -106,13 +106,13 @@
             reason=decision.reason,
         )
         self._last_move_s = self._timer.now_s()
-        self._motives_since_s.clear()
-        await self._carry_out(decision, self._token())
+        self._triggered_since_s.clear()
+        await self._execute(decision, self._token())
         self._last_move_s = self._timer.now_s()
         return decision
 
     def _engines(self) -> list[PlacedEngine]:
-        """Return the engines that may be moved, by what they report."""
+        """Return the engines that may be reassigned, as their reports show them."""
         configuration = self._configuration()
         engines = []
         for name, report in sorted(self._reports().items()):
@@ -126,16 +126,19 @@
                 engines.append(PlacedEngine(name, service, report.role, report.running))
         return engines
 
-    def _ripe(self, decisions: list[Decision]) -> Decision | None:
-        """Return a decision whose motive has lasted for long enough."""
+    def _select_due(self, decisions: list[Decision]) -> Decision | None:
+        """Return a decision whose trigger has persisted for the hold time, or None.
+
+        There is none during the pause after the previous move.
+        """
         now_s = self._timer.now_s()
-        motives = {decision.motive() for decision in decisions}
-        since_s = self._motives_since_s
-        for motive in since_s.keys() - motives:
-            del since_s[motive]
+        triggers = {decision.trigger() for decision in decisions}
+        since_s = self._triggered_since_s
+        for trigger in since_s.keys() - triggers:
+            del since_s[trigger]
         for decision in decisions:
-            if decision.motive() not in since_s:
-                since_s[decision.motive()] = now_s
+            if decision.trigger() not in since_s:
+                since_s[decision.trigger()] = now_s
                 events.emit(
                     PLACEMENT_HELD,
                     data_centre=self._data_centre,
@@ -146,28 +149,34 @@
         if now_s - self._last_move_s < self._settings.placement_pause_s:
             return None
         for decision in decisions:
-            if now_s - since_s[decision.motive()] >= self._settings.placement_hold_s:
+            if now_s - since_s[decision.trigger()] >= self._settings.placement_hold_s:
                 return decision
         return None
 
-    async def _carry_out(self, decision: Decision, token: int) -> None:
+    async def _execute(self, decision: Decision, token: int) -> None:
         if decision.kind is OrderKind.CHANGE_ROLE:
-            await self._order(decision, token)
+            await self._issue(decision, token)
             return
-        await self._withhold(decision.target, True)
+        await self._withhold_new_work(decision.target, True)
         try:
-            if await self._is_idle_in_time(decision.target):
-                await self._order(decision, token)
+            if await self._wait_until_idle(decision.target):
+                await self._issue(decision, token)
             else:
-                self._failed(decision, "the engine did not become idle")
+                self._log_failure(
+                    decision, "the engine did not become idle within the drain limit"
+                )
         finally:
-            await self._withhold(decision.target, False)
+            await self._withhold_new_work(decision.target, False)
+
+    async def _wait_until_idle(self, target: str) -> bool:
+        """Wait until an engine reports idle several times in a row.
 
-    async def _is_idle_in_time(self, target: str) -> bool:
-        """Wait until nothing runs on an engine, by several reports in a row."""
+        Returns:
+          False if it did not become idle within the drain limit.
+        """
         deadline_s = self._timer.now_s() + self._settings.drain_limit_s
         idle_reports = 0
-        while idle_reports < IDLE_REPORTS:
+        while idle_reports < MIN_IDLE_REPORTS:
             if self._timer.now_s() >= deadline_s:
                 return False
             await self._timer.sleep(IDLE_POLL_S)
@@ -176,12 +185,12 @@
             idle_reports = idle_reports + 1 if is_idle else 0
         return True
 
-    async def _order(self, decision: Decision, token: int) -> None:
+    async def _issue(self, decision: Decision, token: int) -> None:
         if self._token() != token:
-            self._failed(decision, "another VM gives the orders")
+            self._log_failure(decision, "the orderer lease was lost")
             return
-        self._orders_given += 1
-        order_id = f"{self._data_centre}-{token}-{self._orders_given}"
+        self._issued_orders += 1
+        order_id = f"{self._data_centre}-{token}-{self._issued_orders}"
         request = OrderRequest(
             order_id,
             decision.target,
@@ -190,14 +199,14 @@
             decision.version,
         )
         try:
-            record = await self._give(request)
+            record = await self._issue_order(request)
         except errors.EndivesillError as error:
-            self._failed(decision, str(error))
+            self._log_failure(decision, str(error))
             return
         if record.state is not OrderState.DONE:
-            self._failed(decision, f"the order is {record.state.value}")
+            self._log_failure(decision, f"the order ended as {record.state.value}")
 
-    def _failed(self, decision: Decision, detail: str) -> None:
+    def _log_failure(self, decision: Decision, detail: str) -> None:
         events.emit(
             PLACEMENT_FAILED,
             data_centre=self._data_centre,
--- a/endivesill/orders/plan.py
+++ b/endivesill/orders/plan.py
@@ -1,7 +1,7 @@
 """Placement decisions: which engine should get another model or role.
 
-The bounds for taking and giving lie apart (hysteresis), so that an engine that was
-moved is not wanted back at once.
+The thresholds for receiving and for giving up an engine differ (hysteresis), so
+that an engine that was moved is not moved back immediately.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 __all__ = ["Decision", "PlacedEngine", "ServiceDemand", "plan_move", "plan_role"]
 
-SHORT_ABOVE_SHARE = 0.9
-SPARE_BELOW_SHARE = 0.6
-LEAST_ENGINES = 1
-ROLE_BAND_SHARE = 0.15
-LEAST_ENGINES_WITH_ROLES = 2
+RECIPIENT_MIN_UTILISATION = 0.9
+DONOR_MAX_UTILISATION = 0.6
+MIN_ENGINES = 1
+ROLE_SHARE_TOLERANCE = 0.15
+MIN_ENGINES_WITH_ROLES = 2
 PREFILL = "prefill"
 DECODE = "decode"
 
 
 @attrs.frozen
 class ServiceDemand:
-    """What a service needs in a data centre now.
+    """Current demand for a service in a data centre.
 
     Attributes:
-      engines: the work, in engines that it would keep busy.
-      prefill_share: the share of it that is prefill; None where engines keep the
-        role `mixed`.
-      version: the model version that its engines should have; empty for any.
+      engines: the load, as a number of fully utilised engines.
+      prefill_share: the share of the load that is prefill, 0 to 1; None if the
+        engines keep the role `mixed`.
+      version: the model version to load on its engines; empty for any.
     """
 
     engines: float
@@ -41,13 +41,13 @@
 
 @attrs.frozen
 class PlacedEngine:
-    """An engine of the data centre that may be moved.
+    """An engine of the data centre that may be reassigned.
 
     Attributes:
-      target: its name.
-      service: the service whose model it has.
-      role: its role.
-      running: requests that run on it.
+      target: the name of the engine.
+      service: the service whose model is loaded.
+      role: `prefill`, `decode` or `mixed`.
+      running: the number of running requests.
     """
 
     target: str
@@ -58,14 +58,14 @@
 
 @attrs.frozen
 class Decision:
-    """An order that should be given, and why.
+    """An order that placement wants to issue, with its reason.
 
     Attributes:
-      target: the engine.
-      kind: what to order.
+      target: the name of the engine.
+      kind: the kind of the order.
       subject: the model or role.
-      version: the model's version.
-      reason: why, for the log.
+      version: the version of the model; empty for any.
+      reason: the reason, for the log.
     """
 
     target: str
@@ -74,70 +74,87 @@
     version: str
     reason: str
 
-    def motive(self) -> tuple[str, str]:
-        """Return what must last for the decision to be carried out."""
+    def trigger(self) -> tuple[str, str]:
+        """Return the kind and subject, which must persist for the hold time."""
         return self.kind.value, self.subject
 
 
-def _of(engines: Sequence[PlacedEngine], service: str) -> list[PlacedEngine]:
+def _engines_of(engines: Sequence[PlacedEngine], service: str) -> list[PlacedEngine]:
     return [engine for engine in engines if engine.service == service]
 
 
 def plan_move(
     engines: Sequence[PlacedEngine], demands: Mapping[str, ServiceDemand]
 ) -> Decision | None:
-    """Return the model move that helps the shortest service, if one has spare."""
-    counts = {service: len(_of(engines, service)) for service in demands}
-    short = {
+    """Return the move of an engine to the most overloaded service, or None.
+
+    The engine comes from the service with the most spare capacity; without one
+    there is no move.
+    """
+    counts = {service: len(_engines_of(engines, service)) for service in demands}
+    overload = {
         service: demand.engines / max(counts[service], 0.5)
         for service, demand in demands.items()
-        if demand.engines > SHORT_ABOVE_SHARE * counts[service]
+        if demand.engines > RECIPIENT_MIN_UTILISATION * counts[service]
     }
-    if not short:
+    if not overload:
         return None
-    taker = max(sorted(short), key=lambda service: short[service])
+    recipient = max(sorted(overload), key=lambda service: overload[service])
     donors = {
-        service: SPARE_BELOW_SHARE * (counts[service] - 1) - demand.engines
+        service: DONOR_MAX_UTILISATION * (counts[service] - 1) - demand.engines
         for service, demand in demands.items()
-        if service != taker
-        and counts[service] > LEAST_ENGINES
-        and demand.engines < SPARE_BELOW_SHARE * (counts[service] - 1)
+        if service != recipient
+        and counts[service] > MIN_ENGINES
+        and demand.engines < DONOR_MAX_UTILISATION * (counts[service] - 1)
     }
     if not donors:
         return None
     donor = max(sorted(donors), key=lambda service: donors[service])
-    engine = min(_of(engines, donor), key=lambda e: (e.running, e.target))
+    engine = min(_engines_of(engines, donor), key=lambda e: (e.running, e.target))
     reason = (
-        f"{taker} needs {demands[taker].engines:.1f} engines and has {counts[taker]}; "
+        f"{recipient} needs {demands[recipient].engines:.1f} engines "
+        f"and has {counts[recipient]}; "
         f"{donor} needs {demands[donor].engines:.1f} and has {counts[donor]}"
     )
     return Decision(
-        engine.target, OrderKind.LOAD_MODEL, taker, demands[taker].version, reason
+        engine.target,
+        OrderKind.LOAD_MODEL,
+        recipient,
+        demands[recipient].version,
+        reason,
     )
 
 
 def plan_role(
     engines: Sequence[PlacedEngine], demands: Mapping[str, ServiceDemand]
 ) -> Decision | None:
-    """Return the role change that brings a service nearest to its shares."""
+    """Return a role change that brings a service closer to its prefill share.
+
+    Returns:
+      None if every service is within the tolerance or keeps its last engine of
+      a role.
+    """
     for service in sorted(demands):
-        wanted = demands[service].prefill_share
-        own = _of(engines, service)
-        if wanted is None or len(own) < LEAST_ENGINES_WITH_ROLES:
+        wanted_share = demands[service].prefill_share
+        service_engines = _engines_of(engines, service)
+        if wanted_share is None or len(service_engines) < MIN_ENGINES_WITH_ROLES:
             continue
-        share = sum(engine.role == PREFILL for engine in own) / len(own)
-        step = 1 / len(own)
-        band = max(ROLE_BAND_SHARE, step / 2)
-        if abs(wanted - share) <= band:
+        share = sum(engine.role == PREFILL for engine in service_engines) / len(
+            service_engines
+        )
+        step = 1 / len(service_engines)
+        tolerance = max(ROLE_SHARE_TOLERANCE, step / 2)
+        if abs(wanted_share - share) <= tolerance:
             continue
-        role = PREFILL if wanted > share else DECODE
-        others = [engine for engine in own if engine.role != role]
-        keeps_other_role = len(others) > 1
+        role = PREFILL if wanted_share > share else DECODE
+        candidates = [engine for engine in service_engines if engine.role != role]
+        keeps_other_role = len(candidates) > 1
         if not keeps_other_role:
             continue
-        engine = min(others, key=lambda e: (e.running, e.target))
+        engine = min(candidates, key=lambda e: (e.running, e.target))
         reason = (
-            f"{share:.2f} of {service}'s engines prefill, {wanted:.2f} of its work does"
+            f"prefill share of {service}: {share:.2f} of its engines, "
+            f"{wanted_share:.2f} of its load"
         )
         return Decision(engine.target, OrderKind.CHANGE_ROLE, role, "", reason)
     return None
--- a/endivesill/orders/service.py
+++ b/endivesill/orders/service.py
@@ -1,4 +1,4 @@
-"""The orders service: gives orders, or passes them on to the VM that does."""
+"""The orders service: issues orders, or forwards them to the orderer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from endivesill.membership.view import MembershipView
 from endivesill.orders.lease import PROPOSE_TIMEOUT_S, OrdererLease
 from endivesill.orders.messages import OrderRecord, OrderRequest
-from endivesill.orders.orderer import EngineOrders, Orderer
+from endivesill.orders.orderer import EngineOrderClient, Orderer
 from endivesill.orders.settings import OrderSettings
 from endivesill.peers import Message, PeerTransport
 from endivesill.targets import EngineAdapter, TargetClient
@@ -21,26 +21,26 @@
 
 ORDER_PATH = "/orders/give"
 FORWARD_MARGIN_S = 10.0
-WATCH_PERIOD_S = 1.0
-RETRY_S = 1.0
+CHECK_PERIOD_S = 1.0
+RETRY_DELAY_S = 1.0
 
 
 class OrderService(Service):
-    """Competes for the data centres whose orderer this VM should be.
+    """Acquires the leases of the data centres whose orderer this VM should be.
 
-    The VM that would be the home of a target named after the data centre should
-    give its orders; the lease decides who does.
+    The preferred orderer of a data centre is the VM that would be the home of a
+    target named after it. The lease decides which VM is the orderer.
 
     Args:
-      kernel: the process's kernel.
-      own_name: this VM's name.
+      kernel: the kernel of the process.
+      own_name: the name of this VM.
       instance_id: the id of this process.
-      settings: times.
-      control: the replicated state.
-      membership: the fleet.
+      settings: the settings of orders.
+      control: the client of the replicated state.
+      membership: the view of the VMs of the fleet.
       configuration: the source of the configuration.
       peers: the transport of the peer port.
-      engines: the adapter to the engines; None makes one at the start.
+      engines: the adapter to the engines; None to create one on start.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         membership: MembershipView,
         configuration: ConfigurationSource,
         peers: PeerTransport,
-        engines: EngineOrders | None = None,
+        engines: EngineOrderClient | None = None,
     ) -> None:
         self._kernel = kernel
         self._holder = f"{own_name}/{instance_id}"
@@ -68,17 +68,17 @@
         self._leases: dict[str, OrdererLease] = {}
         self._orderers: dict[str, Orderer] = {}
         self._stopping = False
-        peers.handle(ORDER_PATH, self._answer)
+        peers.handle(ORDER_PATH, self._handle_issue)
 
     async def start(self) -> None:
-        """Begin to compete."""
+        """Start to acquire leases in the background."""
         if self._engines is None:
             self._client = TargetClient(self._kernel.timer)
             self._engines = EngineAdapter(self._client, self._kernel.timer)
         self._tasks["watch"] = self._kernel.supervise("orders", self._watch)
 
     async def stop(self) -> None:
-        """Stop without giving leases back; see `hand_over`."""
+        """Stop without releasing the leases; see `hand_over`."""
         self._stopping = True
         for task in self._tasks.values():
             task.cancel()
@@ -89,28 +89,29 @@
             await self._client.close()
 
     async def hand_over(self) -> None:
-        """Give the leases back once no order is under way."""
+        """Release each lease once none of its orders is in progress."""
         self._stopping = True
         for data_centre, lease in self._leases.items():
             orderer = self._orderers.get(data_centre)
             while orderer is not None and not orderer.is_idle():
-                await self._kernel.timer.sleep(RETRY_S)
+                await self._kernel.timer.sleep(RETRY_DELAY_S)
             await lease.release()
 
     def orderer(self, data_centre: str) -> Orderer | None:
-        """Return the orderer of a data centre, if it is this VM."""
+        """Return the orderer of a data centre, or None if it is not this VM."""
         lease = self._leases.get(data_centre)
         if lease is None or not lease.remaining_s():
             return None
         return self._orderers.get(data_centre)
 
     async def issue(self, request: OrderRequest) -> OrderRecord:
-        """Give an order, here or through the VM that is the orderer.
+        """Issue an order, here or through the VM that is the orderer.
 
         Raises:
           OrderError: there is no such engine.
-          UnavailableError: there is no orderer now; nothing was given.
-          OutcomeUnknownError: give the same id again to learn the outcome.
+          UnavailableError: there is no orderer, or the orderer returned an error.
+          OutcomeUnknownError: the orderer did not reply; retry with the same id to
+            learn the outcome.
         """
         target = self._configuration.current().targets.get(request.target)
         if target is None:
@@ -121,14 +122,14 @@
         address = await self._orderer_address(target.data_centre)
         timeout_s = self._settings.read_back_s + FORWARD_MARGIN_S
         try:
-            answer = await self._peers.call(
+            response = await self._peers.call(
                 address, ORDER_PATH, request.to_message(), timeout_s
             )
         except errors.PeerUnreachableError as error:
             raise errors.OutcomeUnknownError(str(error)) from None
-        if "error" in answer:
-            raise errors.UnavailableError(answer["error"])
-        return OrderRecord.from_message(answer)
+        if "error" in response:
+            raise errors.UnavailableError(response["error"])
+        return OrderRecord.from_message(response)
 
     async def _orderer_address(self, data_centre: str) -> str:
         lease = await self._control.query(
@@ -140,7 +141,7 @@
                 return vm.address
         raise errors.UnavailableError(f"nobody gives the orders of {data_centre}")
 
-    async def _answer(self, message: Message) -> Message:
+    async def _handle_issue(self, message: Message) -> Message:
         request = OrderRequest.from_message(message)
         target = self._configuration.current().targets.get(request.target)
         orderer = self.orderer(target.data_centre) if target is not None else None
@@ -152,42 +153,45 @@
             return {"error": str(error)}
 
     async def _watch(self) -> None:
-        """Compete for each data centre whose home this VM is."""
+        """Start a task for each data centre whose orderer this VM should be."""
         while not self._stopping:
             for data_centre in self._configuration.current().data_centres:
                 task = self._tasks.get(data_centre)
                 is_running = task is not None and not task.done()
-                if not is_running and self._should_order(data_centre):
+                if not is_running and self._should_be_orderer(data_centre):
                     self._tasks[data_centre] = asyncio.ensure_future(
-                        self._compete(data_centre)
+                        self._run_orderer(data_centre)
                     )
-            await self._kernel.timer.sleep(WATCH_PERIOD_S)
+            await self._kernel.timer.sleep(CHECK_PERIOD_S)
 
-    def _should_order(self, data_centre: str) -> bool:
+    def _should_be_orderer(self, data_centre: str) -> bool:
         name = f"orderer/{data_centre}"
-        place = Target(name, service="", url="http://", data_centre=data_centre)
-        return self._membership.is_home(place)
+        pseudo_target = Target(name, service="", url="http://", data_centre=data_centre)
+        return self._membership.is_home(pseudo_target)
 
-    async def _compete(self, data_centre: str) -> None:
-        """Become the orderer of a data centre and stay it while it should be."""
-        lease = self._lease(data_centre)
+    async def _run_orderer(self, data_centre: str) -> None:
+        """Acquire the lease of a data centre and keep it while this VM should.
+
+        The lease is then released, once no order is in progress.
+        """
+        lease = self._get_or_create_lease(data_centre)
         try:
             if not await lease.acquire():
                 return
-            keeping = asyncio.ensure_future(lease.renew_until_lost())
+            renewal = asyncio.ensure_future(lease.renew_until_lost())
             try:
                 await self._orderers[data_centre].resolve_pending()
-                while not keeping.done() and self._should_order(data_centre):
-                    await self._kernel.timer.sleep(WATCH_PERIOD_S)
-                while not keeping.done() and not self._orderers[data_centre].is_idle():
-                    await self._kernel.timer.sleep(WATCH_PERIOD_S)
+                while not renewal.done() and self._should_be_orderer(data_centre):
+                    await self._kernel.timer.sleep(CHECK_PERIOD_S)
+                while not renewal.done() and not self._orderers[data_centre].is_idle():
+                    await self._kernel.timer.sleep(CHECK_PERIOD_S)
             finally:
-                keeping.cancel()
+                renewal.cancel()
             await lease.release()
         except (errors.UnavailableError, errors.OutcomeUnknownError):
-            await self._kernel.timer.sleep(RETRY_S)
+            await self._kernel.timer.sleep(RETRY_DELAY_S)
 
-    def _lease(self, data_centre: str) -> OrdererLease:
+    def _get_or_create_lease(self, data_centre: str) -> OrdererLease:
         if data_centre not in self._leases:
             if self._engines is None:
                 raise errors.UnavailableError("the order service has not started")
--- a/endivesill/orders/settings.py
+++ b/endivesill/orders/settings.py
@@ -13,16 +13,16 @@
 @settings_section("orders")
 @attrs.frozen
 class OrderSettings:
-    """Times of the orderer's lease, of orders and of placement."""
+    """Timing of the orderer lease, of orders and of placement."""
 
     lease_s: float = schema.field(
-        "how long an orderer may give orders without a renewal; equal on all VMs",
+        "duration of the orderer lease without a renewal; equal on all VMs",
         default=10.0,
         minimum=5.0,
         maximum=600,
     )
     read_back_s: float = schema.field(
-        "how long an engine may take to show what it was ordered",
+        "how long an engine may take to report an order as applied",
         default=120.0,
         minimum=1,
         maximum=3600,
@@ -31,19 +31,19 @@
         "time between placement decisions", default=5.0, minimum=0.1, maximum=3600
     )
     placement_hold_s: float = schema.field(
-        "how long demand must have shifted before an engine is moved",
+        "how long a shift of demand must persist before an engine is reassigned",
         default=60.0,
         minimum=0,
         maximum=86_400,
     )
     placement_pause_s: float = schema.field(
-        "least time between two moves in a data centre",
+        "minimum time between two placement changes in a data centre",
         default=60.0,
         minimum=0,
         maximum=86_400,
     )
     drain_limit_s: float = schema.field(
-        "how long an engine that is to be moved may take to become idle",
+        "how long an engine may take to become idle before a model change",
         default=900.0,
         minimum=1,
         maximum=86_400,
--- a/tests/test_orders_lease.py
+++ b/tests/test_orders_lease.py
@@ -27,7 +27,7 @@
         await self.timer.advance(duration_s)
         return task.result()
 
-    async def test_next_one_waits_out_the_whole_lease(self):
+    async def test_next_orderer_waits_for_the_full_lease(self):
         task = asyncio.ensure_future(self.two.acquire())
         while not task.done():
             await self.timer.advance(0.1)
@@ -36,7 +36,7 @@
         self.assertTrue(task.result())
         self.assertGreater(self.two.token, self.one.token)
 
-    async def test_lease_that_was_renewed_meanwhile_is_not_taken(self):
+    async def test_lease_that_was_renewed_meanwhile_is_not_taken_over(self):
         task = asyncio.ensure_future(self.two.acquire())
         await self.timer.advance(LEASE_S - 1)
         self.assertTrue(await self.one.renew())
@@ -44,41 +44,41 @@
         self.assertFalse(task.result())
         self.assertGreater(self.one.remaining_s(), 0)
 
-    async def test_two_that_wait_for_it_do_not_both_get_it(self):
+    async def test_only_one_of_two_waiting_vms_is_granted_the_lease(self):
         three = self.lease("three")
         tasks = [asyncio.ensure_future(x.acquire()) for x in (self.two, three)]
         await self.timer.advance(2 * LEASE_S)
         self.assertEqual([False, True], sorted(task.result() for task in tasks))
 
-    async def test_released_lease_is_free_at_once(self):
+    async def test_released_lease_can_be_acquired_immediately(self):
         await self.one.release()
         self.assertTrue(await self.finish(self.two.acquire(), 0.1))
         self.assertEqual(0.0, self.one.remaining_s())
 
-    async def test_holder_counts_from_before_it_asked(self):
+    async def test_holder_measures_its_lease_from_before_the_proposal(self):
         await self.one.release()
         slow = self.lease("slow")
         propose = self.control.propose
 
-        async def late(*arguments):
-            answer = await propose(*arguments)
+        async def delayed(*arguments):
+            response = await propose(*arguments)
             await self.timer.sleep(4.0)
-            return answer
+            return response
 
-        self.control.propose = late
+        self.control.propose = delayed
         self.assertTrue(await self.finish(slow.acquire(), 4.0))
         self.assertAlmostEqual(LEASE_S - 4.0, slow.remaining_s())
 
-    async def test_paused_process_wakes_without_its_lease(self):
+    async def test_process_paused_beyond_its_lease_no_longer_holds_it(self):
         self.timer.jump(LEASE_S + 0.1)
         self.assertEqual(0.0, self.one.remaining_s())
 
-    async def test_renewal_answered_after_the_take_over_does_not_revive_it(self):
+    async def test_renewal_after_a_takeover_does_not_revive_the_lease(self):
         await self.finish(self.two.acquire(), 2 * LEASE_S)
         self.assertFalse(await self.one.renew())
         self.assertEqual(0.0, self.one.remaining_s())
 
-    async def test_lease_ends_when_there_is_no_quorum(self):
+    async def test_lease_expires_without_a_quorum(self):
         task = asyncio.ensure_future(self.one.renew_until_lost())
         self.control.failure = errors.UnavailableError("no quorum")
         await self.timer.advance(LEASE_S + 0.1)
@@ -86,7 +86,7 @@
         await self.timer.advance(LEASE_S)
         self.assertTrue(task.done())
 
-    async def test_kept_lease_lasts(self):
+    async def test_renewed_lease_stays_held(self):
         task = asyncio.ensure_future(self.one.renew_until_lost())
         await self.timer.advance(20 * LEASE_S)
         self.assertGreater(self.one.remaining_s(), LEASE_S / 2)
--- a/tests/test_orders_placement.py
+++ b/tests/test_orders_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: decisions, hysteresis and how a move is carried out."""
+"""Tests of placement: decisions, hysteresis and their execution."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
 from endivesill.timer import ManualTimer
 
 
-def engines(**counts):
+def make_engines(**counts):
     return [
         PlacedEngine(f"{service}-{number}", service)
         for service, count in counts.items()
@@ -41,22 +41,22 @@
         wanted = {name: ServiceDemand(value) for name, value in demands.items()}
         return plan_move(placed, wanted)
 
-    def test_idle_engine_goes_from_spare_to_short(self):
-        placed = [*engines(x=2, y=3), PlacedEngine("busy", "y", running=9)]
+    def test_idle_engine_moves_from_the_donor_to_the_overloaded_service(self):
+        placed = [*make_engines(x=2, y=3), PlacedEngine("busy", "y", running=9)]
         decision = self.plan(placed, x=2.5, y=1.0)
         self.assertEqual(("y-0", "x"), (decision.target, decision.subject))
         self.assertIn("x needs 2.5 engines and has 2", decision.reason)
 
-    def test_nothing_moves_within_the_bounds(self):
-        self.assertIsNone(self.plan(engines(x=3, y=3), x=2.5, y=2.0))
-        self.assertIsNone(self.plan(engines(x=2, y=3), x=2.5, y=1.5))
+    def test_nothing_moves_within_the_thresholds(self):
+        self.assertIsNone(self.plan(make_engines(x=3, y=3), x=2.5, y=2.0))
+        self.assertIsNone(self.plan(make_engines(x=2, y=3), x=2.5, y=1.5))
 
     def test_last_engine_of_a_service_stays(self):
-        self.assertIsNone(self.plan(engines(x=2, y=1), x=9.0, y=0.0))
+        self.assertIsNone(self.plan(make_engines(x=2, y=1), x=9.0, y=0.0))
 
-    def test_move_is_never_wanted_back_at_once(self):
+    def test_move_is_not_reversed_immediately(self):
         for tenths in range(60):
-            placed = engines(x=3, y=3)
+            placed = make_engines(x=3, y=3)
             demand = {"x": tenths / 10, "y": 1.0}
             decision = self.plan(placed, **demand)
             if decision is None:
@@ -67,8 +67,10 @@
                 else e
                 for e in placed
             ]
-            back = self.plan(moved, **demand)
-            self.assertTrue(back is None or back.subject == decision.subject)
+            next_decision = self.plan(moved, **demand)
+            self.assertTrue(
+                next_decision is None or next_decision.subject == decision.subject
+            )
 
 
 class PlanRoleTest(unittest.TestCase):
@@ -81,7 +83,7 @@
         decision = self.plan(["prefill", "prefill", "prefill", "decode"], 0.2)
         self.assertEqual("decode", decision.subject)
 
-    def test_role_stays_within_the_band_and_the_last_one_of_a_role_stays(self):
+    def test_role_stays_within_tolerance_and_the_last_of_a_role_stays(self):
         self.assertIsNone(self.plan(["prefill", "decode", "decode", "decode"], 0.35))
         self.assertIsNone(self.plan(["prefill", "decode"], 1.0))
 
@@ -90,7 +92,7 @@
     async def asyncSetUp(self):
         self.timer = ManualTimer()
         self.token = 7
-        self.given = []
+        self.issued = []
         self.withheld = []
         self.logged = []
         self.addCleanup(events.listen(lambda kind, f: self.logged.append((kind, f))))
@@ -108,8 +110,8 @@
             lambda: configuration,
             lambda: self.demand,
             lambda: self.reports,
-            self.give,
-            self.withhold,
+            self.issue,
+            self.withhold_new_work,
             lambda: self.token,
             OrderSettings(),
         )
@@ -118,42 +120,42 @@
     async def asyncTearDown(self):
         self.task.cancel()
 
-    async def give(self, request):
-        self.given.append(request)
+    async def issue(self, request):
+        self.issued.append(request)
         return OrderRecord(request, self.token, OrderState.DONE)
 
-    async def withhold(self, target, withheld):
+    async def withhold_new_work(self, target, withheld):
         self.withheld.append((target, withheld))
 
-    async def test_shift_that_lasts_moves_one_engine_and_logs_the_reason(self):
+    async def test_persistent_shift_moves_one_engine_and_logs_the_reason(self):
         await self.timer.advance(75.0)
         expected = OrderRequest("a-7-1", "fencing-1", OrderKind.LOAD_MODEL, "x", "v2")
-        self.assertEqual([expected], self.given)
+        self.assertEqual([expected], self.issued)
         self.assertEqual([("fencing-1", True), ("fencing-1", False)], self.withheld)
         reasons = [f["reason"] for kind, f in self.logged if kind is PLACEMENT_DECIDED]
         self.assertEqual(1, len(reasons))
         self.assertIn("y needs 0.5 and has 3", reasons[0])
 
-    async def test_shift_that_does_not_last_moves_nothing(self):
+    async def test_transient_shift_moves_nothing(self):
         for _ in range(10):
             await self.timer.advance(50.0)
             shifted, self.demand = self.demand, {"x": ServiceDemand(0.1)}
             await self.timer.advance(10.0)
             self.demand = shifted
-        self.assertEqual([], self.given)
+        self.assertEqual([], self.issued)
 
-    async def test_engine_that_is_busy_is_emptied_first(self):
+    async def test_busy_engine_is_drained_first(self):
         for name in self.reports:
             self.reports[name] = attrs.evolve(self.reports[name], running=1)
         await self.timer.advance(200.0)
         self.assertEqual([("fencing-1", True)], self.withheld)
-        self.assertEqual([], self.given)
+        self.assertEqual([], self.issued)
         report = attrs.evolve(self.reports["fencing-1"], running=0)
         self.reports["fencing-1"] = report
         await self.timer.advance(5.0)
-        self.assertEqual(1, len(self.given))
+        self.assertEqual(1, len(self.issued))
 
-    async def test_orderer_that_loses_its_lease_meanwhile_gives_no_order(self):
+    async def test_orderer_that_loses_its_lease_meanwhile_issues_no_order(self):
         self.reports["fencing-1"] = attrs.evolve(self.reports["fencing-1"], running=1)
         self.reports["plain-0"] = attrs.evolve(self.reports["plain-0"], running=2)
         self.reports["plain-1"] = attrs.evolve(self.reports["plain-1"], running=2)
@@ -162,14 +164,14 @@
         report = attrs.evolve(self.reports["fencing-1"], running=0)
         self.reports["fencing-1"] = report
         await self.timer.advance(10.0)
-        self.assertEqual([], self.given)
+        self.assertEqual([], self.issued)
         self.assertEqual(("fencing-1", False), self.withheld[-1])
 
     async def test_leaving_engine_is_not_moved(self):
         report = attrs.evolve(self.reports["fencing-1"], leaving_in_s=30.0)
         self.reports["fencing-1"] = report
         await self.timer.advance(75.0)
-        self.assertEqual(["plain-0"], [request.target for request in self.given])
+        self.assertEqual(["plain-0"], [request.target for request in self.issued])
 
 
 class OrderServiceTest(unittest.IsolatedAsyncioTestCase):
@@ -209,20 +211,20 @@
             await self.services[name].stop()
             await kernel.stop()
 
-    async def give(self, name, order_id):
+    async def issue(self, name, order_id):
         request = OrderRequest(order_id, "plain-0", OrderKind.CHANGE_ROLE, "decode")
         task = asyncio.ensure_future(self.services[name].issue(request))
         await self.timer.advance(5.0)
         return task.result()
 
-    async def test_order_given_at_any_vm_reaches_the_orderer(self):
+    async def test_order_issued_at_any_vm_reaches_the_orderer(self):
         for name in ("v1", "v2"):
-            record = await self.give(name, f"o-{name}")
+            record = await self.issue(name, f"o-{name}")
             self.assertIs(OrderState.DONE, record.state)
         self.assertIsNotNone(self.services["v1"].orderer("a"))
         self.assertIsNone(self.services["v2"].orderer("a"))
 
-    async def test_hand_over_frees_the_lease_for_the_next_one(self):
+    async def test_hand_over_releases_the_lease_to_the_next_orderer(self):
         for view in self.views.values():
             view.replace(self.vms, {"orderer/a": "v2"})
         task = asyncio.ensure_future(self.services["v1"].hand_over())
@@ -231,7 +233,7 @@
         self.assertIsNotNone(self.services["v2"].orderer("a"))
         self.assertIsNone(self.services["v1"].orderer("a"))
 
-    async def test_orderer_that_dies_is_followed_after_its_lease(self):
+    async def test_failed_orderer_is_replaced_after_its_lease_expires(self):
         await self.services["v1"].stop()
         for view in self.views.values():
             view.replace(self.vms, {"orderer/a": "v2"})
