--- a/endivesill/control/bootstrap.py
+++ b/endivesill/control/bootstrap.py
@@ -61,15 +61,19 @@
     Args:
       core: the replica's shared state.
       addresses: the control addresses of the settings.
-      may_found: whether an empty disk may be part of a new cluster; if not, it
+      may_create_cluster: whether an empty disk may be part of a new cluster; if not, it
         has lost what was on it and only joins.
     """
 
     def __init__(
-        self, core: ReplicaCore, addresses: tuple[str, ...], *, may_found: bool = True
+        self,
+        core: ReplicaCore,
+        addresses: tuple[str, ...],
+        *,
+        may_create_cluster: bool = True,
     ) -> None:
         self._core = core
-        self._may_found = may_found
+        self._may_create_cluster = may_create_cluster
         self._addresses = tuple(sorted(set(addresses)))
 
     @property
@@ -101,7 +105,7 @@
 
     def _is_ready_to_found(self, hellos: dict[str, Hello]) -> bool:
         complete = len(hellos) == len(self._addresses)
-        return self._may_found and self._is_listed and complete
+        return self._may_create_cluster and self._is_listed and complete
 
     async def _ask_all(self) -> dict[str, Hello]:
         core = self._core
--- a/endivesill/control/core.py
+++ b/endivesill/control/core.py
@@ -221,7 +221,7 @@
         elapsed_s = self.timer.now_s() - self.leader_contact_s
         return elapsed_s < self.settings.election_timeout_s
 
-    def leader_to_call(self) -> str | None:
+    def active_leader_address(self) -> str | None:
         """Return the address of the leader if it is likely to answer."""
         return self.leader_address if self.heard_leader() else None
 
@@ -285,7 +285,7 @@
             self._note_voters(entry)
         for waiter in self._waiters.pop(entry.index, ()):
             if waiter.term != entry.term:
-                _fail(waiter, errors.NotLeaderError(self.leader_to_call()))
+                _fail(waiter, errors.NotLeaderError(self.active_leader_address()))
             elif not waiter.future.done():
                 waiter.future.set_result(outcome)
 
--- a/endivesill/control/leadership.py
+++ b/endivesill/control/leadership.py
@@ -108,7 +108,7 @@
     def _append(self, kind: EntryKind, body: str) -> LogEntry:
         core = self._core
         if core.leadership is not self:
-            raise errors.NotLeaderError(core.leader_to_call())
+            raise errors.NotLeaderError(core.active_leader_address())
         index = core.log.last_index + 1
         entry = LogEntry(index, self.term, core.next_time_s(), kind, body)
         core.log.append([entry])
@@ -261,7 +261,7 @@
         except errors.DeadlineExceededError:
             raise errors.UnavailableError("no majority answered in time") from None
         if core.leadership is not self:
-            raise errors.NotLeaderError(core.leader_to_call())
+            raise errors.NotLeaderError(core.active_leader_address())
 
     # Leadership transfer.
 
--- a/endivesill/control/repair.py
+++ b/endivesill/control/repair.py
@@ -27,15 +27,15 @@
     Args:
       core: the replica's shared state.
       manager: makes the changes.
-      wanted_voters: how many voters there shall be.
+      desired_voters: how many voters there shall be.
     """
 
     def __init__(
-        self, core: ReplicaCore, manager: VoterManager, wanted_voters: int
+        self, core: ReplicaCore, manager: VoterManager, desired_voters: int
     ) -> None:
         self._core = core
         self._manager = manager
-        self._wanted = wanted_voters
+        self._wanted = desired_voters
 
     async def run(self) -> None:
         """Look for what to repair, one change at a time."""
--- a/endivesill/control/replica.py
+++ b/endivesill/control/replica.py
@@ -65,8 +65,8 @@
       addresses: peer addresses of all control VMs, this one included.
       settings: the `[control]` settings.
       seed: seed of the election timeouts; None for a random one.
-      may_found: whether an empty disk may be part of a new cluster.
-      wanted_voters: how many voters the leader makes and keeps by itself; 0
+      may_create_cluster: whether an empty disk may be part of a new cluster.
+      desired_voters: how many voters the leader makes and keeps by itself; 0
         leaves the voters to operators.
 
     Raises:
@@ -85,8 +85,8 @@
         settings: ControlSettings | None = None,
         seed: int | None = None,
         *,
-        may_found: bool = True,
-        wanted_voters: int = 0,
+        may_create_cluster: bool = True,
+        desired_voters: int = 0,
     ) -> None:
         settings = settings or ControlSettings()
         if settings.election_timeout_s < 2 * settings.heartbeat_s:
@@ -100,13 +100,17 @@
         self._election = Election(self._core)
         self._follower = Follower(self._core)
         self._snapshotter = Snapshotter(self._core)
-        self._bootstrap = Bootstrap(self._core, addresses, may_found=may_found)
+        self._bootstrap = Bootstrap(
+            self._core, addresses, may_create_cluster=may_create_cluster
+        )
         self._manager = VoterManager(self._core)
         self._repair = (
-            Repair(self._core, self._manager, wanted_voters) if wanted_voters else None
+            Repair(self._core, self._manager, desired_voters)
+            if desired_voters
+            else None
         )
         self._client = RemoteControlClient(
-            timer, transport, addresses, self._core.leader_to_call
+            timer, transport, addresses, self._core.active_leader_address
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._newest_fields: dict[str, Callable[[], Any]] = {}
@@ -287,7 +291,7 @@
 
     def _leading(self) -> Leadership:
         if self._core.leadership is None:
-            raise errors.NotLeaderError(self._core.leader_to_call())
+            raise errors.NotLeaderError(self._core.active_leader_address())
         return self._core.leadership
 
     async def _handle_propose(self, message: Message) -> Message:
--- a/endivesill/control/voter_manager.py
+++ b/endivesill/control/voter_manager.py
@@ -179,7 +179,7 @@
     def _leading(self) -> Leadership:
         leadership = self._core.leadership
         if leadership is None:
-            raise errors.NotLeaderError(self._core.leader_to_call())
+            raise errors.NotLeaderError(self._core.active_leader_address())
         return leadership
 
     # What the leader sees.
@@ -283,7 +283,7 @@
             raise errors.UnsafeChangeError("the last voter must stay")
         if not await leadership.transfer(None):
             raise errors.UnavailableError("no other voter could take over")
-        raise errors.NotLeaderError(self._core.leader_to_call())
+        raise errors.NotLeaderError(self._core.active_leader_address())
 
     async def _replace(self, replica: str, address: str) -> None:
         leadership = self._leading()
--- a/endivesill/fleet/hub.py
+++ b/endivesill/fleet/hub.py
@@ -141,7 +141,7 @@
         if not self._has_news(message):
             await self._wait_for_news(message)
         if await self._confirmed_term() is None:
-            return {"leader": self._replica.core.leader_to_call()}
+            return {"leader": self._replica.core.active_leader_address()}
         return self._answer(entry, message)
 
     async def _wait_for_news(self, message: Message) -> None:
--- a/endivesill/platform/control_process.py
+++ b/endivesill/platform/control_process.py
@@ -63,8 +63,8 @@
         disk,
         settings.seed_peers,
         control_settings(settings),
-        may_found=settings.is_first_start,
-        wanted_voters=2 * settings.tolerated_losses + 1,
+        may_create_cluster=settings.is_first_start,
+        desired_voters=2 * settings.tolerated_losses + 1,
     )
     client = PlatformClient(timer)
     hub = FleetHub(
--- a/tests/test_control_repair.py
+++ b/tests/test_control_repair.py
@@ -30,8 +30,8 @@
             self.seeds,
             self.settings,
             next(self._numbers),
-            may_found=self.first_start,
-            wanted_voters=WANTED_VOTERS,
+            may_create_cluster=self.first_start,
+            desired_voters=WANTED_VOTERS,
         )
 
     async def grow(self) -> None:
