--- a/endivesill/control/bootstrap.py
+++ b/endivesill/control/bootstrap.py
@@ -139,7 +139,7 @@
         snapshot = Snapshot(FIRST_INDEX, FIRST_TERM, 0.0, cluster, voter_set)
         await core.storage.save_snapshot(snapshot.to_text(), snapshot.head())
         await core.log.reset(FIRST_INDEX, FIRST_TERM)
-        core.install(snapshot)
+        core.install_snapshot(snapshot)
         events.emit(BOOTSTRAPPED, cluster=cluster, voters=voters)
 
     async def _adopt_or_join(self, existing: list[Hello]) -> None:
--- a/endivesill/control/core.py
+++ b/endivesill/control/core.py
@@ -1,4 +1,4 @@
-"""What the parts of a control replica share: term, role, log and state."""
+"""State shared by the parts of a control replica: term, role, log and state."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica does in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -44,7 +44,13 @@
 
 @attrs.frozen
 class _Waiter:
-    """Someone who waits for the outcome of an entry."""
+    """A caller that waits for the outcome of a log entry.
+
+    Attributes:
+      term: term of the entry; an entry of another term at the same index has
+        replaced it.
+      future: receives the outcome.
+    """
 
     term: int
     future: asyncio.Future[Message]
@@ -55,22 +61,23 @@
 
     Args:
       timer: the timer service.
-      transport: how peers are called.
-      storage: the disk.
+      transport: used to call peers.
+      storage: the replica's durable storage.
       settings: the `[control]` settings.
-      seed: seed of the election timeouts.
+      seed: seed of the random election timeouts.
 
     Attributes:
-      term: the highest term seen; it counts once it is on disk.
-      voted_for: who has this replica's vote in the term.
-      leader: the identity of the leader, or None.
-      leader_address: its peer address, or None.
-      leader_contact_s: when the leader was last heard.
-      election_reset_s: when the wait for an election began.
-      commit_index: the last committed index known.
-      cluster: the cluster's id; empty before the replica has a state.
-      leadership: what there is of a leader's work while leading.
-      changed: notified after each change of role, commit or voters.
+      term: the highest term seen; it must be on disk before it is used.
+      voted_for: the candidate that received this replica's vote in the term.
+      leader: the identity of the leader, or None if it is unknown.
+      leader_address: the leader's peer address, or None.
+      leader_contact_s: time of the last request from the leader.
+      election_reset_s: time at which the election timer was last reset.
+      commit_index: the highest index known to be committed.
+      cluster: the cluster ID; empty until the replica has a state.
+      leadership: the leader's volatile state; None unless this replica leads.
+      changed: notified when the role, the commit or applied index or the voters
+        change.
     """
 
     def __init__(
@@ -107,7 +114,7 @@
 
     @property
     def identity(self) -> str:
-        """The identity of this replica's disk."""
+        """The replica ID, which is bound to its disk."""
         return self.storage.metadata.identity
 
     @property
@@ -117,44 +124,52 @@
 
     @property
     def voter_set(self) -> VoterSet:
-        """The newest voters in the log, committed or not."""
+        """The latest voter set in the log, committed or not."""
         return self._voter_sets[-1][1]
 
     @property
     def voters_index(self) -> int:
-        """The index of the entry with the newest voters."""
+        """The index of the entry that holds the latest voter set."""
         return self._voter_sets[-1][0]
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this replica has a vote."""
+        """Whether this replica votes in the latest voter set."""
         return self.identity in self.voter_set.voters
 
     async def load(self) -> None:
-        """Read the disk; a replica forgets on a restart whom it has heard."""
+        """Restore term, vote, snapshot and log from disk.
+
+        The leader is unknown after a restart.
+        """
         snapshot = await self.storage.load()
         self.term = self.storage.metadata.term
         self.voted_for = self.storage.metadata.voted_for
         if snapshot is not None:
-            self._take_snapshot(snapshot)
+            self._restore_snapshot(snapshot)
         for entry in self.log.entries(self.log.first_index, self.log.last_index):
-            self.note_appended(entry)
-        # A leader may hold a lease that rests on a promise from before the start.
+            self.record_appended(entry)
+        # A leader's lease may still rely on a response sent before the restart, so
+        # votes are refused for a full election timeout.
         self.leader_contact_s = self.timer.now_s()
         self.election_reset_s = self.timer.now_s()
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _restore_snapshot(self, snapshot: Snapshot) -> None:
         self.cluster = snapshot.cluster
         self._voter_sets = [(snapshot.index, snapshot.voter_set)]
         self._time_base = (snapshot.time_s, self.timer.now_s())
         self.commit_index = max(self.commit_index, snapshot.index)
         self.machine.load(snapshot)
 
-    def install(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot from the leader that is on disk already."""
-        self._take_snapshot(snapshot)
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by a snapshot that is already on disk.
+
+        Callers waiting for an entry covered by the snapshot get an
+        OutcomeUnknownError.
+        """
+        self._restore_snapshot(snapshot)
         for entry in self.log.entries(snapshot.index + 1, self.log.last_index):
-            self.note_appended(entry)
+            self.record_appended(entry)
         for index in [i for i in self._waiters if i <= snapshot.index]:
             for waiter in self._waiters.pop(index):
                 _fail(waiter, errors.OutcomeUnknownError("the log was replaced"))
@@ -164,10 +179,10 @@
     # Term, vote and role.
 
     async def persist(self) -> None:
-        """Bring term and vote to disk.
+        """Write the current term and vote to disk.
 
         Raises:
-          StorageError: they are not on disk and must not be used.
+          StorageError: they are not durable and must not be used.
         """
         async with self._vote_lock:
             metadata = attrs.evolve(
@@ -176,21 +191,25 @@
             if metadata != self.storage.metadata:
                 await self.storage.save(metadata)
 
-    def note_term(self, term: int) -> None:
-        """Enter a higher term that was seen, as a follower."""
+    def advance_term(self, term: int) -> None:
+        """Adopt a higher term as a follower; a lower or equal one is ignored."""
         if term > self.term:
             self.term = term
             self.voted_for = None
             self.step_down("a higher term")
 
-    async def observe_term(self, term: int) -> None:
-        """Enter a term that was seen and persist it."""
-        self.note_term(term)
+    async def advance_and_persist_term(self, term: int) -> None:
+        """Adopt a higher term as a follower and make it durable.
+
+        Raises:
+          StorageError: the term could not be written.
+        """
+        self.advance_term(term)
         if self.storage.metadata.term < self.term:
             await self.persist()
 
     def step_down(self, reason: str) -> None:
-        """Become a follower without a leader."""
+        """Become a follower with no known leader and end any leadership."""
         was_leader = self.role is Role.LEADER
         self.role = Role.FOLLOWER
         self.leader = None
@@ -203,8 +222,8 @@
             events.emit(LEADER_STEPPED_DOWN, term=self.term, reason=reason)
         self.changed.notify()
 
-    def follow(self, leader: str, address: str) -> None:
-        """Note a call from the leader of the present term."""
+    def accept_leader(self, leader: str, address: str) -> None:
+        """Reset the election timer on a request from the leader of this term."""
         self.leader_contact_s = self.timer.now_s()
         self.election_reset_s = self.leader_contact_s
         if self.role is Role.CANDIDATE:
@@ -214,35 +233,50 @@
             self.leader_address = address
             self.changed.notify()
 
-    def heard_leader(self) -> bool:
-        """Tell whether a leader may rest its lease on this replica."""
+    def has_active_leader(self) -> bool:
+        """Return whether a leader was in contact within the election timeout.
+
+        The leader's lease relies on it: while it is true, this replica grants
+        votes only for a leadership transfer.
+        """
         if self.leadership is not None:
             return self.leadership.has_quorum()
         elapsed_s = self.timer.now_s() - self.leader_contact_s
         return elapsed_s < self.settings.election_timeout_s
 
     def active_leader_address(self) -> str | None:
-        """Return the address of the leader if it is likely to answer."""
-        return self.leader_address if self.heard_leader() else None
+        """Return the leader's peer address, or None without an active leader."""
+        return self.leader_address if self.has_active_leader() else None
 
     # Log, commit and state.
 
-    def next_time_s(self) -> float:
-        """Return the cluster's time, which goes on from the last entry's."""
-        time_s, noted_s = self._time_base
+    def cluster_time_s(self) -> float:
+        """Return the cluster time, which continues from the last entry's time.
+
+        It advances with the local monotonic clock, so that it never goes back.
+        """
+        time_s, recorded_s = self._time_base
         if time_s == 0.0:
             return self.timer.wall_time_s()
-        return time_s + (self.timer.now_s() - noted_s)
+        return time_s + (self.timer.now_s() - recorded_s)
 
-    def note_appended(self, entry: LogEntry) -> None:
-        """Keep what an entry means before it is committed."""
+    def record_appended(self, entry: LogEntry) -> None:
+        """Track the cluster time and voter set of an appended entry.
+
+        A voter set is in use as soon as its entry is appended.
+        """
         self._time_base = (entry.time_s, self.timer.now_s())
         if entry.kind is EntryKind.VOTERS:
             self._voter_sets.append((entry.index, entry.voter_set()))
             self.changed.notify()
 
     async def truncate_from(self, index: int) -> None:
-        """Cut off entries of another leader that were not committed."""
+        """Remove uncommitted entries from an index on; they conflict with the leader.
+
+        Raises:
+          EndivesillError: an entry to be removed is committed.
+          StorageError: the log files could not be truncated.
+        """
         if index <= self.commit_index:
             raise errors.EndivesillError(f"entry {index} is committed")
         while self._voter_sets[-1][0] >= index:
@@ -251,7 +285,7 @@
         self.changed.notify()
 
     def advance_commit(self, index: int) -> None:
-        """Take entries up to an index as committed and apply them."""
+        """Mark entries up to an index as committed and start applying them."""
         if index > self.commit_index:
             self.commit_index = index
             self._apply_committed()
@@ -259,7 +293,8 @@
     def _apply_committed(self) -> None:
         self._apply_scheduled = False
         machine = self.machine
-        # Behind the log's base, a snapshot from the leader is being put in use.
+        # The log starts after the applied index only while a snapshot from the
+        # leader is being installed.
         if self._apply_paused or machine.applied_index < self.log.base_index:
             return
         last = min(self.commit_index, machine.applied_index + APPLY_BATCH_ENTRIES)
@@ -271,25 +306,25 @@
         self.changed.notify()
 
     def pause_applying(self) -> None:
-        """Keep the state as it is; entries are still committed."""
+        """Stop applying entries; they can still be committed."""
         self._apply_paused = True
 
     def resume_applying(self) -> None:
-        """Apply what was committed meanwhile."""
+        """Continue to apply entries, with those committed in the meantime."""
         self._apply_paused = False
         self._apply_committed()
 
     def _apply(self, entry: LogEntry) -> None:
         outcome = self.machine.apply(entry)
         if entry.kind is EntryKind.VOTERS:
-            self._note_voters(entry)
+            self._apply_voter_change(entry)
         for waiter in self._waiters.pop(entry.index, ()):
             if waiter.term != entry.term:
                 _fail(waiter, errors.NotLeaderError(self.active_leader_address()))
             elif not waiter.future.done():
                 waiter.future.set_result(outcome)
 
-    def _note_voters(self, entry: LogEntry) -> None:
+    def _apply_voter_change(self, entry: LogEntry) -> None:
         voter_set = entry.voter_set()
         events.emit(
             VOTERS_CHANGED,
@@ -299,23 +334,27 @@
         )
         while len(self._voter_sets) > 1 and self._voter_sets[1][0] <= entry.index:
             self._voter_sets.pop(0)
-        # After a restart the log is applied from its begin, with old voter sets.
+        # The log is replayed after a restart and may contain old voter sets.
         is_newest = entry.index == self.voters_index
         if self.role is Role.LEADER and is_newest and not self.is_voter:
             self.step_down("removed from the voters")
 
     def applied_voter_set(self) -> VoterSet:
-        """Return the voters at the last applied entry."""
+        """Return the voter set as of the last applied entry."""
         return self._voter_sets[0][1]
 
-    def expect(self, index: int, term: int) -> asyncio.Future[Message]:
-        """Return what will hold the outcome of an entry once it is applied."""
+    def add_waiter(self, index: int, term: int) -> asyncio.Future[Message]:
+        """Return a future for the outcome of an entry.
+
+        It fails with NotLeaderError if an entry of another term is applied at the
+        index, and with OutcomeUnknownError if a snapshot replaces the log.
+        """
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._waiters.setdefault(index, []).append(_Waiter(term, future))
         return future
 
     async def wait_applied(self, index: int) -> None:
-        """Wait until the state holds an entry."""
+        """Wait until the entry at an index is applied."""
         while self.machine.applied_index < index:
             await self.changed.wait()
 
@@ -323,5 +362,5 @@
 def _fail(waiter: _Waiter, error: errors.EndivesillError) -> None:
     if not waiter.future.done():
         waiter.future.set_exception(error)
-        # The one who waited may be gone.
+        # Marks the exception as retrieved, as the caller may have been cancelled.
         waiter.future.exception()
--- a/endivesill/control/leadership.py
+++ b/endivesill/control/leadership.py
@@ -1,4 +1,4 @@
-"""The work of a leader in one term."""
+"""The state and tasks of a leader during one term."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from endivesill.control.entries import EntryKind, LogEntry, Proposal
 from endivesill.control.events import LEADERSHIP_TRANSFER
 from endivesill.control.messages import LEAD_PATH, LeadRequest, to_message
-from endivesill.control.progress import Progress
+from endivesill.control.progress import PeerProgress
 from endivesill.control.replication import PeerReplication
 from endivesill.control.voter_set import VoterSet
 from endivesill.peers import Message
@@ -20,84 +20,87 @@
 
 __all__ = ["Leadership"]
 
-LEASE_SHARE = 0.9
-LARGEST_BACKLOG_ENTRIES = 10_000
+LEASE_RATIO = 0.9
+MAX_UNCOMMITTED_ENTRIES = 10_000
 
 
 class Leadership:
-    """A leader's term: proposals, commits, lease and the replicas' progress.
+    """Proposals, commits, lease and replication of a leader in one term.
 
     Args:
       core: the replica's shared state.
 
     Attributes:
-      term: the term in which it leads.
-      progress: what is known of the other replicas, by identity.
-      transferring: whether it is handing over and takes no proposals.
+      term: the term of this leadership.
+      progress: replication progress of the other members, by identity.
+      transferring: whether a leadership transfer is in progress; proposals are
+        rejected meanwhile.
+      progress_changed: notified after each response of a member, each sync of the
+        leader's log and at the end of the leadership.
     """
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
-        self._began_s = core.timer.now_s()
+        self._started_s = core.timer.now_s()
         self._peers: dict[str, PeerReplication] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._lease_allowed = True
+        self._lease_enabled = True
         self._ticker = core.timer.call_every(core.settings.heartbeat_s, self._tick)
-        self._first_index = 0
+        self._no_op_index = 0
         self.term = core.term
-        self.progress: dict[str, Progress] = {}
+        self.progress: dict[str, PeerProgress] = {}
         self.transferring = False
-        self.answered = Signal()
+        self.progress_changed = Signal()
 
-    def begin(self) -> None:
-        """Append the term's first entry and start replicating."""
-        self._first_index = self._append(EntryKind.NO_OP, "{}").index
-        self._match_peers()
+    def start(self) -> None:
+        """Append a no-op entry of the new term and start replication."""
+        self._no_op_index = self._append(EntryKind.NO_OP, "{}").index
+        self._reconcile_peers()
 
     def close(self) -> None:
-        """Stop all work; the term is over for this replica."""
+        """Cancel all tasks and wake all waiters; the leadership has ended."""
         self._ticker.cancel()
         for task in self._tasks:
             task.cancel()
-        self.answered.notify()
+        self.progress_changed.notify()
 
     # Proposals and commits.
 
     async def propose(self, proposal: Proposal, timeout_s: float) -> Message:
-        """Commit a proposal and return its outcome; see StateMachine.apply.
+        """Append a proposal and return its outcome; see StateMachine.apply.
 
         Raises:
-          UnavailableError: nothing was changed.
-          OutcomeUnknownError: it may be committed later, or not.
+          UnavailableError: the proposal was not appended.
+          OutcomeUnknownError: it was appended and may still be committed.
         """
         core = self._core
         if self.transferring:
             raise errors.NotLeaderError(None)
         if len(core.voter_set.voters) < core.settings.minimum_voters:
             raise errors.UnavailableError("too few voters yet")
-        if core.log.last_index - core.commit_index > LARGEST_BACKLOG_ENTRIES:
+        if core.log.last_index - core.commit_index > MAX_UNCOMMITTED_ENTRIES:
             raise errors.UnavailableError("too many proposals wait for a commit")
         entry = self._append(EntryKind.COMMAND, proposal.to_text())
-        return await self._outcome(entry, timeout_s)
+        return await self._wait_for_outcome(entry, timeout_s)
 
     async def change_voters(self, voter_set: VoterSet, timeout_s: float) -> None:
-        """Commit another voter set, which differs in one voter at most.
+        """Commit a new voter set, which may differ in one voter at most.
 
         Raises:
           UnavailableError: an earlier change is not committed yet.
-          OutcomeUnknownError: it may be committed later, or not.
+          OutcomeUnknownError: the entry was appended and may still be committed.
         """
         core = self._core
-        await self._wait_for_own_commit(timeout_s)
+        await self._wait_for_term_commit(timeout_s)
         if core.voters_index > core.commit_index or self.transferring:
             raise errors.UnavailableError("another change of voters is under way")
         body = json.dumps(voter_set.to_document())
         entry = self._append(EntryKind.VOTERS, body)
-        self._match_peers()
-        await self._outcome(entry, timeout_s)
+        self._reconcile_peers()
+        await self._wait_for_outcome(entry, timeout_s)
 
-    async def _outcome(self, entry: LogEntry, timeout_s: float) -> Message:
-        future = self._core.expect(entry.index, entry.term)
+    async def _wait_for_outcome(self, entry: LogEntry, timeout_s: float) -> Message:
+        future = self._core.add_waiter(entry.index, entry.term)
         try:
             return await self._core.timer.wait_for(future, timeout_s)
         except errors.DeadlineExceededError:
@@ -110,55 +113,56 @@
         if core.leadership is not self:
             raise errors.NotLeaderError(core.active_leader_address())
         index = core.log.last_index + 1
-        entry = LogEntry(index, self.term, core.next_time_s(), kind, body)
+        entry = LogEntry(index, self.term, core.cluster_time_s(), kind, body)
         core.log.append([entry])
-        core.note_appended(entry)
+        core.record_appended(entry)
         for peer in self._peers.values():
             peer.wake()
         return entry
 
-    def note_synced(self) -> None:
-        """React to a sync of the own log, or to its failure."""
+    def handle_sync(self) -> None:
+        """Handle a sync of the leader's own log, or its failure."""
         core = self._core
         if core.log.last_error is not None:
             if not self.transferring:
-                self.run_task(self._leave())
+                self.run_task(self._hand_over_or_step_down())
             return
         self._advance_commit()
-        self.answered.notify()
+        self.progress_changed.notify()
 
-    async def _leave(self) -> None:
-        """Hand over because of the disk, or at least stop leading."""
+    async def _hand_over_or_step_down(self) -> None:
+        """Transfer leadership after a disk failure; step down if that fails."""
         await self.transfer(None)
         if self._core.leadership is self:
             self._core.step_down("the disk failed")
 
-    def note_answer(self) -> None:
-        """React to an answer of a replica."""
+    def handle_response(self) -> None:
+        """Handle a response of a member: its progress may allow a commit."""
         self._advance_commit()
-        self.answered.notify()
+        self.progress_changed.notify()
 
     def _advance_commit(self) -> None:
         core = self._core
-        matches = [
+        match_indexes = [
             core.log.synced_index
             if identity == core.identity
             else self.progress[identity].match_index
             for identity in core.voter_set.voters
         ]
-        matches.sort(reverse=True)
-        index = matches[core.voter_set.quorum - 1]
-        # Entries of earlier terms are committed by one of this term only.
+        match_indexes.sort(reverse=True)
+        index = match_indexes[core.voter_set.quorum - 1]
+        # Entries of earlier terms are committed only indirectly, by an entry of the
+        # current term (section 5.4.2 of the Raft paper).
         if index > core.commit_index and core.log.term_at(index) == self.term:
             core.advance_commit(index)
             if core.leadership is self:
                 for peer in self._peers.values():
-                    peer.note_commit()
+                    peer.schedule_commit_notice()
 
     # Peers.
 
-    def _match_peers(self) -> None:
-        """Have a replication task for each other member and for no one else."""
+    def _reconcile_peers(self) -> None:
+        """Start replication to new members and stop it for removed ones."""
         core = self._core
         members = core.voter_set.members
         for identity, address in members.items():
@@ -175,14 +179,14 @@
                 peer.task.cancel()
 
     def run_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task that is cancelled at the end of the term."""
+        """Run a task that is cancelled when the leadership ends."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._handle_task_end)
         return task
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
-        """Stop leading when a task has failed: a part of the work is not done."""
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
+        """Step down if a task failed, since its work is no longer done."""
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -200,51 +204,57 @@
 
     # Lease and reads.
 
-    def _majority_answered_s(self) -> float:
-        """Return when the last call was sent that a majority has answered."""
+    def _quorum_contact_s(self) -> float:
+        """Return a time such that a majority answered calls sent then or later."""
         core = self._core
         times = [
             core.timer.now_s()
             if identity == core.identity
-            else self.progress[identity].answered_s
+            else self.progress[identity].last_contact_s
             for identity in core.voter_set.voters
         ]
         times.sort(reverse=True)
         return times[core.voter_set.quorum - 1]
 
     def has_quorum(self) -> bool:
-        """Tell whether a majority has answered within an election timeout."""
-        heard_s = max(self._began_s, self._majority_answered_s())
-        elapsed_s = self._core.timer.now_s() - heard_s
+        """Return whether a majority was in contact within the election timeout."""
+        contact_s = max(self._started_s, self._quorum_contact_s())
+        elapsed_s = self._core.timer.now_s() - contact_s
         return elapsed_s < self._core.settings.election_timeout_s
 
     def holds_lease(self) -> bool:
-        """Tell whether no other replica can have been elected yet."""
-        length_s = LEASE_SHARE * self._core.settings.election_timeout_s
-        end_s = self._majority_answered_s() + length_s
-        return self._lease_allowed and self._core.timer.now_s() < end_s
+        """Return whether no other replica can have been elected yet."""
+        lease_s = LEASE_RATIO * self._core.settings.election_timeout_s
+        lease_end_s = self._quorum_contact_s() + lease_s
+        return self._lease_enabled and self._core.timer.now_s() < lease_end_s
 
     async def read_index(self, timeout_s: float) -> int:
-        """Return an index that a linearizable read must have applied.
+        """Return the read index: a linearizable read must wait until it is applied.
 
         Raises:
           UnavailableError: a majority did not confirm the leader in time.
+          NotLeaderError: the leadership has ended.
         """
         core = self._core
-        asked_s = core.timer.now_s()
-        await self._wait_for_own_commit(timeout_s)
+        requested_s = core.timer.now_s()
+        await self._wait_for_term_commit(timeout_s)
         index = core.commit_index
         if self.holds_lease():
             return index
         for peer in self._peers.values():
             peer.request_heartbeat()
-        await self._wait_until(lambda: self._majority_answered_s() > asked_s, timeout_s)
+        await self._wait_until(
+            lambda: self._quorum_contact_s() > requested_s, timeout_s
+        )
         return index
 
-    async def _wait_for_own_commit(self, timeout_s: float) -> None:
-        """Wait for a commit of this term, which shows all earlier ones."""
+    async def _wait_for_term_commit(self, timeout_s: float) -> None:
+        """Wait until an entry of this term is committed.
+
+        Before that, the leader does not know which earlier entries are committed.
+        """
         await self._wait_until(
-            lambda: self._core.commit_index >= self._first_index, timeout_s
+            lambda: self._core.commit_index >= self._no_op_index, timeout_s
         )
 
     async def _wait_until(
@@ -254,7 +264,7 @@
 
         async def wait() -> None:
             while core.leadership is self and not condition():
-                await self.answered.wait()
+                await self.progress_changed.wait()
 
         try:
             await core.timer.wait_for(wait(), timeout_s)
@@ -266,27 +276,27 @@
     # Leadership transfer.
 
     async def transfer(self, identity: str | None) -> bool:
-        """Hand leadership to a voter; return whether that has worked.
+        """Transfer leadership to a voter; return whether this replica lost it.
 
         Args:
-          identity: who shall lead; None for the voter that is furthest.
+          identity: the new leader; None for the most caught-up voter.
         """
         core = self._core
-        heir = identity or self._furthest_voter()
-        progress = self.progress.get(heir) if heir else None
-        if heir is None or progress is None or self.transferring:
+        transferee = identity or self._most_caught_up_voter()
+        progress = self.progress.get(transferee) if transferee else None
+        if transferee is None or progress is None or self.transferring:
             return False
-        address = core.voter_set.members[heir]
+        address = core.voter_set.members[transferee]
         self.transferring = True
-        events.emit(LEADERSHIP_TRANSFER, term=self.term, to=heir)
+        events.emit(LEADERSHIP_TRANSFER, term=self.term, to=transferee)
         timeout_s = core.settings.election_timeout_s
         try:
             await self._wait_until(
                 lambda: progress.match_index >= core.log.last_index, timeout_s
             )
-            # From here on another leader may be elected in spite of the lease.
-            self._lease_allowed = False
-            request = LeadRequest(core.cluster, heir, self.term)
+            # The transferee may be elected while the lease still runs.
+            self._lease_enabled = False
+            request = LeadRequest(core.cluster, transferee, self.term)
             await core.transport.call(
                 address, LEAD_PATH, to_message(request), timeout_s
             )
@@ -295,9 +305,9 @@
         self.transferring = False
         return core.leadership is not self
 
-    def _furthest_voter(self) -> str | None:
+    def _most_caught_up_voter(self) -> str | None:
         core = self._core
         others = [i for i in core.voter_set.voters if i in self.progress]
-        fresh_s = core.timer.now_s() - core.settings.election_timeout_s
-        live = [i for i in others if self.progress[i].answered_s > fresh_s]
+        live_since_s = core.timer.now_s() - core.settings.election_timeout_s
+        live = [i for i in others if self.progress[i].last_contact_s > live_since_s]
         return max(live, key=lambda i: self.progress[i].match_index, default=None)
--- a/endivesill/control/log.py
+++ b/endivesill/control/log.py
@@ -80,7 +80,7 @@
         self.synced_index = 0
         self.failure: errors.StorageError | None = None
         self.last_error: errors.StorageError | None = None
-        self.grown = Signal()
+        self.appended = Signal()
 
     @property
     def last_index(self) -> int:
@@ -114,7 +114,7 @@
             return None
         return self.entry(index).term
 
-    def on_synced(self, listener: Callable[[], None]) -> None:
+    def add_sync_listener(self, listener: Callable[[], None]) -> None:
         """Call a listener after each sync and after each failure of one."""
         self._listeners.append(listener)
 
@@ -122,9 +122,9 @@
         """Take entries into memory; the writer task makes them last."""
         self._entries.extend(entries)
         self._dirty.set()
-        self.grown.notify()
+        self.appended.notify()
 
-    async def sync_to(self, index: int) -> None:
+    async def wait_synced(self, index: int) -> None:
         """Wait until an entry is on disk for good.
 
         Raises:
@@ -222,7 +222,7 @@
         del segment.offsets[position:]
         await self._disk.truncate(segment.name, segment.size_bytes)
 
-    async def forget_to(self, index: int) -> None:
+    async def compact_to(self, index: int) -> None:
         """Let go of synced entries up to an index that a snapshot holds."""
         async with self._lock:
             index = min(index, self.synced_index)
@@ -305,7 +305,7 @@
             self.base_term = term
         elif self.term_at(index) == term:
             # The term before the first entry is not on disk.
-            await self.forget_to(self.first_index)
+            await self.compact_to(self.first_index)
         else:
             await self.reset(index, term)
 
--- a/endivesill/control/messages.py
+++ b/endivesill/control/messages.py
@@ -1,7 +1,7 @@
-"""Messages between control replicas, and their JSON objects.
+"""Messages between control replicas, and their JSON form.
 
-Each names the cluster and the identity that it is meant for: a VM whose disk
-was lost answers at the same address as another replica.
+Requests carry the cluster ID and the recipient's identity: after the loss of its
+disk, a VM is another replica at the same address.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
     "CHUNK_PATH",
     "LEAD_PATH",
     "VOTE_PATH",
-    "AppendAnswer",
     "AppendRequest",
-    "ChunkAnswer",
+    "AppendResponse",
     "ChunkRequest",
-    "LeadAnswer",
+    "ChunkResponse",
     "LeadRequest",
-    "VoteAnswer",
+    "LeadResponse",
     "VoteRequest",
+    "VoteResponse",
     "from_message",
     "to_message",
 ]
@@ -40,11 +40,18 @@
 
 @attrs.frozen
 class VoteRequest:
-    """Asks for a vote.
+    """Requests a vote.
 
     Attributes:
-      pre: only asks whether the vote would be given; nothing changes.
-      transfer: the leader itself wants this election.
+      cluster: the cluster ID.
+      to: the recipient's identity.
+      candidate: the candidate's identity.
+      term: the candidate's term.
+      last_index: index of the candidate's last log entry.
+      last_term: term of the candidate's last log entry.
+      pre_vote: whether to respond without changing any state.
+      transfer: whether the leader requested the election, so that its lease does
+        not prevent a vote.
     """
 
     cluster: str
@@ -53,13 +60,18 @@
     term: int
     last_index: int
     last_term: int
-    pre: bool
+    pre_vote: bool
     transfer: bool
 
 
 @attrs.frozen
-class VoteAnswer:
-    """The answer to a VoteRequest."""
+class VoteResponse:
+    """Response to a VoteRequest.
+
+    Attributes:
+      term: the voter's current term.
+      granted: whether the vote is granted.
+    """
 
     term: int
     granted: bool
@@ -67,14 +79,18 @@
 
 @attrs.frozen
 class AppendRequest:
-    """Entries for a replica; without any it is a heartbeat.
+    """Appends entries to a replica's log; a heartbeat has none.
 
     Attributes:
-      address: where the leader takes calls.
-      previous_index: the index before the first entry.
-      previous_term: the term that the leader has there.
-      commit_index: the last committed index that the leader knows.
-      rows: the entries as JSON arrays.
+      cluster: the cluster ID.
+      to: the recipient's identity.
+      leader: the leader's identity.
+      address: the leader's peer address.
+      term: the leader's term.
+      previous_index: index of the entry that precedes the new ones.
+      previous_term: term of that entry in the leader's log.
+      commit_index: the leader's commit index.
+      rows: the entries as JSON arrays; see LogEntry.to_row.
     """
 
     cluster: str
@@ -89,13 +105,14 @@
 
 
 @attrs.frozen
-class AppendAnswer:
-    """The answer to an AppendRequest.
+class AppendResponse:
+    """Response to an AppendRequest.
 
     Attributes:
-      term: the term that the replica is in.
-      success: whether its log holds all that was sent, on disk.
-      last_index: up to where, or after a refusal where it might agree.
+      term: the follower's current term.
+      success: whether all entries of the request are on the follower's disk.
+      last_index: on success the last matching index, otherwise a hint at which
+        index the logs may match.
     """
 
     term: int
@@ -105,14 +122,19 @@
 
 @attrs.frozen
 class ChunkRequest:
-    """A part of a snapshot.
+    """One chunk of a snapshot.
 
     Attributes:
-      index: the snapshot's index.
-      offset: where the part begins in the snapshot's text.
-      size: the length of the whole text.
-      checksum: crc32 of the whole text.
-      text: the part.
+      cluster: the cluster ID.
+      to: the recipient's identity.
+      leader: the leader's identity.
+      address: the leader's peer address.
+      term: the leader's term.
+      index: the last log index that the snapshot includes.
+      offset: position of the chunk in the snapshot's text.
+      size: length of the complete text.
+      checksum: CRC-32 of the complete text.
+      text: the chunk.
     """
 
     cluster: str
@@ -128,13 +150,13 @@
 
 
 @attrs.frozen
-class ChunkAnswer:
-    """The answer to a ChunkRequest.
+class ChunkResponse:
+    """Response to a ChunkRequest.
 
     Attributes:
-      term: the term that the replica is in.
-      offset: where the next part must begin.
-      installed: whether the snapshot is in use.
+      term: the follower's current term.
+      offset: the offset that the follower expects next.
+      installed: whether the snapshot is complete and installed.
     """
 
     term: int
@@ -144,7 +166,13 @@
 
 @attrs.frozen
 class LeadRequest:
-    """Asks a voter to stand for election at once."""
+    """Asks a voter to start an election at once, to transfer leadership.
+
+    Attributes:
+      cluster: the cluster ID.
+      to: the recipient's identity.
+      term: the leader's term.
+    """
 
     cluster: str
     to: str
@@ -152,22 +180,26 @@
 
 
 @attrs.frozen
-class LeadAnswer:
-    """The answer to a LeadRequest."""
+class LeadResponse:
+    """Response to a LeadRequest.
+
+    Attributes:
+      is_leader: whether the voter has won the election.
+    """
 
-    leads: bool
+    is_leader: bool
 
 
 def to_message(value: Any) -> Message:
-    """Return the JSON object of a message; its fields go without their names."""
+    """Return a message as `{"fields": [...]}`, its fields in order without names."""
     return {"fields": list(attrs.astuple(value, recurse=False))}
 
 
 def from_message(kind: type[T], message: Message) -> T:
-    """Return the message of a JSON object.
+    """Return the message that a JSON object holds.
 
     Raises:
-      PeerUnreachableError: the peer refused or speaks another protocol.
+      PeerUnreachableError: the peer refused the call or its fields do not fit.
     """
     try:
         return kind(*message["fields"])
--- a/endivesill/control/progress.py
+++ b/endivesill/control/progress.py
@@ -1,23 +1,23 @@
-"""What a leader knows of one replica."""
+"""Replication progress of one member, as tracked by the leader."""
 
 from __future__ import annotations
 
 import attrs
 
-__all__ = ["Progress"]
+__all__ = ["PeerProgress"]
 
 
 @attrs.define
-class Progress:
-    """A replica as the leader sees it.
+class PeerProgress:
+    """The leader's view of one member.
 
     Attributes:
-      since_s: when the leader began to call it.
-      match_index: the last index known to be on its disk.
-      answered_s: when the last call that it answered was sent; minus infinity
-        before the first answer.
+      started_s: time at which the leader started to replicate to the member.
+      match_index: the highest index known to be on the member's disk.
+      last_contact_s: send time of the latest call that the member answered; minus
+        infinity before the first response.
     """
 
-    since_s: float
+    started_s: float
     match_index: int = 0
-    answered_s: float = float("-inf")
+    last_contact_s: float = float("-inf")
--- a/endivesill/control/repair.py
+++ b/endivesill/control/repair.py
@@ -86,5 +86,5 @@
         progress = leadership.progress.get(replica.identity) if leadership else None
         if progress is None:
             return 0.0
-        heard_s = max(progress.answered_s, progress.since_s)
+        heard_s = max(progress.last_contact_s, progress.started_s)
         return self._core.timer.now_s() - heard_s
--- a/endivesill/control/replica.py
+++ b/endivesill/control/replica.py
@@ -126,7 +126,7 @@
         """
         core = self._core
         await core.load()
-        core.log.on_synced(self._note_synced)
+        core.log.add_sync_listener(self._note_synced)
         self._handle_paths()
         for name, run in (
             ("control-log", core.log.run),
@@ -170,7 +170,7 @@
 
     def _note_synced(self) -> None:
         if self._core.leadership is not None:
-            self._core.leadership.note_synced()
+            self._core.leadership.handle_sync()
 
     # What others can ask of this replica.
 
--- a/endivesill/control/replication.py
+++ b/endivesill/control/replication.py
@@ -1,4 +1,4 @@
-"""Replication from the leader to one replica, in a task of its own."""
+"""Log replication from the leader to one other member."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from endivesill.control.messages import (
     APPEND_PATH,
     CHUNK_PATH,
-    AppendAnswer,
     AppendRequest,
-    ChunkAnswer,
+    AppendResponse,
     ChunkRequest,
+    ChunkResponse,
     from_message,
     to_message,
 )
-from endivesill.control.progress import Progress
+from endivesill.control.progress import PeerProgress
 
 if TYPE_CHECKING:
     from endivesill.control.leadership import Leadership
 
 __all__ = ["PeerReplication"]
 
-WINDOW_CALLS = 4
-COMMIT_NOTICE_S = 0.02
+MAX_IN_FLIGHT_CALLS = 4
+COMMIT_NOTICE_DELAY_S = 0.02
 
 
 class PeerReplication:
-    """Sends one replica what it lacks.
+    """Sends log entries, snapshots and heartbeats to one member.
 
-    Until the logs agree there is one call at a time; then up to a window of
-    calls is under way, each with all entries that have come meanwhile.
+    One call at a time is in flight until the logs are known to match; after that
+    calls are pipelined, each with the entries appended since the previous one.
 
     Args:
-      core: the replica's shared state.
-      leadership: the term that this belongs to.
-      identity: the other replica.
-      address: its peer address.
+      core: the leader's shared state.
+      leadership: the leadership that this replication belongs to.
+      identity: the identity of the member.
+      address: the peer address of the member.
 
     Attributes:
-      progress: what is known of the replica.
-      task: the task that runs `run`.
+      progress: the member's replication progress.
+      task: the task that runs `run`, or None before it is started.
     """
 
     def __init__(
@@ -54,66 +54,66 @@
         self._identity = identity
         self._address = address
         self._next_index = core.log.last_index + 1
-        self._calls = 0
-        self._agreed = False
-        self._failed = False
+        self._in_flight_calls = 0
+        self._logs_match = False
+        self._last_call_failed = False
         self._heartbeat_due = True
-        self._sent_s = float("-inf")
-        self._sent_commit_index = 0
-        self._notice_due = False
-        self._woken = asyncio.Event()
-        self.progress = Progress(core.timer.now_s())
+        self._last_sent_s = float("-inf")
+        self._last_sent_commit_index = 0
+        self._commit_notice_due = False
+        self._wakeup = asyncio.Event()
+        self.progress = PeerProgress(core.timer.now_s())
         self.task: asyncio.Task[None] | None = None
 
     def wake(self) -> None:
-        """Look whether there is something to send."""
-        self._woken.set()
+        """Make `run` check again whether there is something to send."""
+        self._wakeup.set()
 
     def tick(self) -> None:
-        """Note that a heartbeat's time has come."""
-        self._failed = False
+        """Handle the heartbeat timer; also allows a retry after a failed call."""
+        self._last_call_failed = False
         heartbeat_s = self._core.settings.heartbeat_s
-        if self._core.timer.now_s() - self._sent_s >= heartbeat_s / 2:
+        if self._core.timer.now_s() - self._last_sent_s >= heartbeat_s / 2:
             self._heartbeat_due = True
         self.wake()
 
     def request_heartbeat(self) -> None:
-        """Send a heartbeat now."""
+        """Send a heartbeat at once, even if another call was just sent."""
         self._heartbeat_due = True
         self.wake()
 
-    def note_commit(self) -> None:
-        """Tell the replica of a commit soon, unless entries carry it anyway."""
-        if not self._notice_due:
-            self._notice_due = True
-            self._core.timer.call_after(COMMIT_NOTICE_S, self._send_notice)
+    def schedule_commit_notice(self) -> None:
+        """Send the commit index soon, unless another request carries it first."""
+        if not self._commit_notice_due:
+            self._commit_notice_due = True
+            self._core.timer.call_after(COMMIT_NOTICE_DELAY_S, self._send_commit_notice)
 
-    def _send_notice(self) -> None:
-        self._notice_due = False
-        if self._sent_commit_index >= self._core.commit_index:
+    def _send_commit_notice(self) -> None:
+        self._commit_notice_due = False
+        if self._last_sent_commit_index >= self._core.commit_index:
             return
-        if self._core.timer.now_s() - self._sent_s < COMMIT_NOTICE_S:
-            # Calls are frequent; one of the next will tell.
-            self.note_commit()
+        if self._core.timer.now_s() - self._last_sent_s < COMMIT_NOTICE_DELAY_S:
+            # Another call was just sent; the next one may carry the commit index.
+            self.schedule_commit_notice()
         else:
             self.request_heartbeat()
 
     async def run(self) -> None:
-        """Replicate until the task is cancelled."""
+        """Send entries, snapshots and heartbeats until cancelled."""
         while True:
-            if not self._must_send():
-                self._woken.clear()
-                await self._woken.wait()
+            if not self._should_send():
+                self._wakeup.clear()
+                await self._wakeup.wait()
             elif self._next_index <= self._core.log.base_index:
                 await self._send_snapshot()
             else:
                 self._send_entries()
 
-    def _must_send(self) -> bool:
-        if self._calls >= (WINDOW_CALLS if self._agreed else 1):
+    def _should_send(self) -> bool:
+        if self._in_flight_calls >= (MAX_IN_FLIGHT_CALLS if self._logs_match else 1):
             return False
         has_entries = self._next_index <= self._core.log.last_index
-        return self._heartbeat_due or (has_entries and not self._failed)
+        return self._heartbeat_due or (has_entries and not self._last_call_failed)
 
     def _send_entries(self) -> None:
         core = self._core
@@ -131,15 +131,15 @@
             commit_index=core.commit_index,
             rows=[entry.to_row() for entry in entries],
         )
-        if self._agreed:
+        if self._logs_match:
             self._next_index += len(entries)
-        self._calls += 1
+        self._in_flight_calls += 1
         self._heartbeat_due = False
-        self._sent_s = core.timer.now_s()
-        self._sent_commit_index = core.commit_index
-        self._leadership.run_task(self._exchange(request))
+        self._last_sent_s = core.timer.now_s()
+        self._last_sent_commit_index = core.commit_index
+        self._leadership.run_task(self._send_append(request))
 
-    async def _exchange(self, request: AppendRequest) -> None:
+    async def _send_append(self, request: AppendRequest) -> None:
         core = self._core
         sent_s = core.timer.now_s()
         settings = core.settings
@@ -150,35 +150,35 @@
             message = await core.transport.call(
                 self._address, APPEND_PATH, to_message(request), timeout_s
             )
-            answer = from_message(AppendAnswer, message)
+            response = from_message(AppendResponse, message)
         except errors.PeerUnreachableError:
-            # The next heartbeat tries again.
-            self._failed = True
-            self._go_back(self.progress.match_index + 1)
+            # Retried at the next heartbeat.
+            self._last_call_failed = True
+            self._reset_next_index(self.progress.match_index + 1)
             return
         finally:
-            self._calls -= 1
+            self._in_flight_calls -= 1
             self.wake()
-        if answer.term > core.term:
-            core.note_term(answer.term)
+        if response.term > core.term:
+            core.advance_term(response.term)
             return
-        self._take_answer(request, answer, sent_s)
+        self._handle_response(request, response, sent_s)
 
-    def _take_answer(
-        self, request: AppendRequest, answer: AppendAnswer, sent_s: float
+    def _handle_response(
+        self, request: AppendRequest, response: AppendResponse, sent_s: float
     ) -> None:
         progress = self.progress
-        progress.answered_s = max(progress.answered_s, sent_s)
-        if answer.success:
-            progress.match_index = max(progress.match_index, answer.last_index)
+        progress.last_contact_s = max(progress.last_contact_s, sent_s)
+        if response.success:
+            progress.match_index = max(progress.match_index, response.last_index)
             self._next_index = max(self._next_index, progress.match_index + 1)
-            self._agreed = True
+            self._logs_match = True
         else:
-            self._go_back(min(request.previous_index, answer.last_index + 1))
-        self._leadership.note_answer()
+            self._reset_next_index(min(request.previous_index, response.last_index + 1))
+        self._leadership.handle_response()
 
-    def _go_back(self, index: int) -> None:
-        self._agreed = False
+    def _reset_next_index(self, index: int) -> None:
+        self._logs_match = False
         self._next_index = max(index, self.progress.match_index + 1)
 
     async def _send_snapshot(self) -> None:
@@ -202,35 +202,35 @@
                 checksum=checksum,
                 text=text[offset:end],
             )
-            answer = await self._send_chunk(request)
-            if answer is None:
+            response = await self._send_chunk(request)
+            if response is None:
                 await core.timer.sleep(core.settings.heartbeat_s)
                 return
-            if answer.installed:
-                self._note_installed(head.index)
+            if response.installed:
+                self._handle_installed(head.index)
                 return
-            offset = answer.offset
+            offset = response.offset
 
-    async def _send_chunk(self, request: ChunkRequest) -> ChunkAnswer | None:
+    async def _send_chunk(self, request: ChunkRequest) -> ChunkResponse | None:
         core = self._core
         sent_s = core.timer.now_s()
-        self._sent_s = sent_s
+        self._last_sent_s = sent_s
         timeout_s = 2 * core.settings.election_timeout_s
         try:
             message = await core.transport.call(
                 self._address, CHUNK_PATH, to_message(request), timeout_s
             )
-            answer = from_message(ChunkAnswer, message)
+            response = from_message(ChunkResponse, message)
         except errors.PeerUnreachableError:
             return None
-        if answer.term > core.term:
-            core.note_term(answer.term)
+        if response.term > core.term:
+            core.advance_term(response.term)
             return None
-        self.progress.answered_s = max(self.progress.answered_s, sent_s)
-        self._leadership.note_answer()
-        return answer
+        self.progress.last_contact_s = max(self.progress.last_contact_s, sent_s)
+        self._leadership.handle_response()
+        return response
 
-    def _note_installed(self, index: int) -> None:
+    def _handle_installed(self, index: int) -> None:
         self.progress.match_index = max(self.progress.match_index, index)
         self._next_index = self.progress.match_index + 1
-        self._leadership.note_answer()
+        self._leadership.handle_response()
--- a/endivesill/control/snapshotter.py
+++ b/endivesill/control/snapshotter.py
@@ -46,7 +46,7 @@
         snapshot = core.machine.to_snapshot(core.cluster, voter_set)
         text = await self._text_of(snapshot)
         await core.storage.save_snapshot(text, snapshot.head())
-        await core.log.forget_to(snapshot.index - core.settings.trailing_entries)
+        await core.log.compact_to(snapshot.index - core.settings.trailing_entries)
         events.emit(SNAPSHOT_WRITTEN, index=snapshot.index, size_bytes=len(text))
 
     async def _text_of(self, snapshot: Snapshot) -> str:
--- a/endivesill/control/voter_manager.py
+++ b/endivesill/control/voter_manager.py
@@ -204,7 +204,7 @@
             match_index, live = core.log.synced_index, True
         else:
             match_index = progress.match_index
-            elapsed_s = core.timer.now_s() - progress.answered_s
+            elapsed_s = core.timer.now_s() - progress.last_contact_s
             live = elapsed_s < core.settings.election_timeout_s
         lag_entries = core.log.last_index - match_index
         ready = live and lag_entries <= READY_LAG_ENTRIES
@@ -326,5 +326,5 @@
     async def _until(self, condition: Callable[[], bool]) -> None:
         leadership = self._leading()
         while not condition():
-            await leadership.answered.wait()
+            await leadership.progress_changed.wait()
             self._leading()
--- a/endivesill/control/voter_set.py
+++ b/endivesill/control/voter_set.py
@@ -1,4 +1,4 @@
-"""Who votes in the cluster and who only learns."""
+"""The voters and learners of a cluster."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 @attrs.frozen
 class VoterSet:
-    """The replicas of a cluster, by identity.
+    """The members of a cluster.
 
     Attributes:
-      voters: peer addresses of the voters.
-      learners: peer addresses of replicas that take the log without a vote.
+      voters: peer address of each voter, by identity.
+      learners: peer address of each learner, by identity; learners receive the
+        log but do not vote.
     """
 
     voters: Mapping[str, str] = attrs.Factory(dict)
@@ -28,44 +29,48 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters make a majority."""
+        """The number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def members(self) -> dict[str, str]:
-        """Addresses of voters and learners."""
+        """Peer address of each voter and learner, by identity."""
         return {**self.learners, **self.voters}
 
     def has_quorum(self, identities: Iterable[str]) -> bool:
-        """Tell whether these replicas hold a majority of the votes."""
+        """Return whether these replicas include a majority of the voters."""
         return len(set(identities) & set(self.voters)) >= self.quorum
 
     def with_learner(self, identity: str, address: str) -> VoterSet:
-        """Return the set with one learner more."""
+        """Return a copy with an added learner."""
         return attrs.evolve(self, learners={**self.learners, identity: address})
 
     def with_voter(self, identity: str) -> VoterSet:
-        """Return the set with a learner made a voter."""
+        """Return a copy with a learner promoted to voter.
+
+        Raises:
+          KeyError: there is no such learner.
+        """
         learners = dict(self.learners)
         address = learners.pop(identity)
         return VoterSet({**self.voters, identity: address}, learners)
 
     def without(self, identity: str) -> VoterSet:
-        """Return the set without a replica."""
+        """Return a copy without a member."""
         voters = {i: a for i, a in self.voters.items() if i != identity}
         learners = {i: a for i, a in self.learners.items() if i != identity}
         return VoterSet(voters, learners)
 
     def cluster_id(self) -> str:
-        """Return the id of the cluster whose first voters these are."""
+        """Return the ID of the cluster that has these initial voters."""
         text = ",".join(f"{i}={a}" for i, a in sorted(self.voters.items()))
         return hashlib.sha256(text.encode()).hexdigest()[:CLUSTER_ID_LENGTH]
 
     def to_document(self) -> Message:
-        """Return the set as a JSON object."""
+        """Return the voter set as a JSON object."""
         return {"voters": dict(self.voters), "learners": dict(self.learners)}
 
     @classmethod
     def from_document(cls, document: Message) -> VoterSet:
-        """Return the set of a JSON object."""
+        """Return the voter set that a JSON object holds."""
         return cls(document["voters"], document["learners"])
--- a/endivesill/control/voters.py
+++ b/endivesill/control/voters.py
@@ -1,7 +1,8 @@
-"""Status and changes of the voters, for operators.
+"""Status and membership changes of the control cluster, for operators.
 
-`VoterOperations` can be used on any VM; the leader does the work in
-`VoterManager`. Every operation can be repeated: it goes on where it stood.
+`VoterOperations` runs on any VM; the leader carries out the change in
+`VoterManager`. Operations are idempotent: a repeated one resumes an unfinished
+change.
 """
 
 from __future__ import annotations
@@ -22,29 +23,29 @@
 
 
 class VoterOperations:
-    """What operators can do with the control replicas.
+    """Operator commands for the control replicas.
 
     Args:
-      client: reaches the leader.
+      client: calls the leader.
     """
 
     def __init__(self, client: RemoteControlClient) -> None:
         self._client = client
 
     async def status(self, timeout_s: float = STATUS_TIMEOUT_S) -> ClusterStatus:
-        """Return the cluster as its leader sees it.
+        """Return the leader's view of the cluster.
 
         Raises:
-          UnavailableError: there is no leader.
+          UnavailableError: no leader was reached in time.
         """
         message = {"operation": "status", "replica": "", "address": ""}
-        answer = await self._client.call_leader(VOTERS_PATH, message, timeout_s)
-        return ClusterStatus.from_document(answer["status"])
+        response = await self._client.call_leader(VOTERS_PATH, message, timeout_s)
+        return ClusterStatus.from_document(response["status"])
 
     async def add(
         self, address: str, timeout_s: float = CHANGE_TIMEOUT_S
     ) -> ChangeResult:
-        """Make the replica at an address a voter once it has caught up.
+        """Add the replica at an address as a learner; promote it once caught up.
 
         Raises:
           UnsafeChangeError: the cluster might lose its quorum.
@@ -64,7 +65,7 @@
     async def replace(
         self, replica: str, address: str, timeout_s: float = CHANGE_TIMEOUT_S
     ) -> ChangeResult:
-        """Put the replica at an address in the place of another one.
+        """Replace a voter or learner by the replica at an address.
 
         Raises:
           UnsafeChangeError: the cluster might lose its quorum.
@@ -75,8 +76,8 @@
         self, operation: str, replica: str, address: str, timeout_s: float
     ) -> ChangeResult:
         message = {"operation": operation, "replica": replica, "address": address}
-        answer = await self._client.call_leader(
+        response = await self._client.call_leader(
             VOTERS_PATH, message, timeout_s, attempt_timeout_s=timeout_s
         )
-        status = ClusterStatus.from_document(answer["status"])
-        return attrs.evolve(ChangeResult(False, "", status), **answer["change"])
+        status = ClusterStatus.from_document(response["status"])
+        return attrs.evolve(ChangeResult(False, "", status), **response["change"])
--- a/tests/test_control_replication.py
+++ b/tests/test_control_replication.py
@@ -9,10 +9,10 @@
 from endivesill.control.core import Role
 from endivesill.control.entries import LogEntry, Proposal
 from endivesill.control.messages import (
-    AppendAnswer,
     AppendRequest,
-    VoteAnswer,
+    AppendResponse,
     VoteRequest,
+    VoteResponse,
     from_message,
     to_message,
 )
@@ -69,20 +69,20 @@
             term=50,
             last_index=1_000,
             last_term=50,
-            pre=False,
+            pre_vote=False,
             transfer=False,
         )
         request = attrs.evolve(request, **changes)
         handler = cluster.network.find(address).handlers["/control/vote"]
-        return from_message(VoteAnswer, await handler(to_message(request)))
+        return from_message(VoteResponse, await handler(to_message(request)))
 
     async def test_no_vote_is_given_while_a_lease_may_run(self):
         cluster = await self.start()
         address = cluster.followers()[0]
         core = cluster.replicas[address].core
-        for pre in (True, False):
-            answer = await self.ask_vote(cluster, address, pre=pre)
-            self.assertEqual(VoteAnswer(core.term, False), answer)
+        for pre_vote in (True, False):
+            answer = await self.ask_vote(cluster, address, pre_vote=pre_vote)
+            self.assertEqual(VoteResponse(core.term, False), answer)
         cluster.network.isolate(address)
         await cluster.timer.advance(LEASE_S)
         answer = await self.ask_vote(cluster, address)
@@ -102,7 +102,7 @@
         cluster = await self.start()
         address = cluster.followers()[0]
         answer = await self.ask_vote(cluster, address, transfer=True)
-        self.assertEqual(VoteAnswer(50, True), answer)
+        self.assertEqual(VoteResponse(50, True), answer)
         await cluster.restart(address)
         for candidate in ("y", "x"):
             answer = await self.ask_vote(
@@ -139,7 +139,7 @@
         self.assertFalse(task.done())
         disk.held.set()
         await cluster.timer.advance(0.1)
-        self.assertFalse(from_message(AppendAnswer, await task).success)
+        self.assertFalse(from_message(AppendResponse, await task).success)
 
     async def test_entries_of_earlier_terms_are_not_committed_by_counting(self):
         cluster = await self.start()
@@ -153,10 +153,10 @@
         for progress in leadership.progress.values():
             progress.match_index = core.log.last_index
         leadership.term += 1
-        leadership.note_answer()
+        leadership.handle_response()
         self.assertEqual(before, core.commit_index)
         leadership.term -= 1
-        leadership.note_answer()
+        leadership.handle_response()
         self.assertEqual(core.log.last_index, core.commit_index)
         await task
 
--- a/tests/test_control_storage.py
+++ b/tests/test_control_storage.py
@@ -48,7 +48,7 @@
         await self.append(entries(2, *range(6, 16)))
         await self.append(entries(2, 16, 17))
         await self.snapshot(15, 2)
-        await self.storage.log.forget_to(14)
+        await self.storage.log.compact_to(14)
         await self.truncate(9 + 7)
         await self.append(entries(3, 16, 17, 18))
         await self.vote(4, "b")
@@ -63,7 +63,7 @@
 
     async def append(self, new):
         self.storage.log.append(new)
-        await self.storage.log.sync_to(new[-1].index)
+        await self.storage.log.wait_synced(new[-1].index)
         self.must.update({entry.index: entry.term for entry in new})
 
     async def truncate(self, index):
@@ -219,15 +219,15 @@
         log = storage.log
         task = asyncio.ensure_future(log.run())
         log.append(entries(1, 1, 2))
-        await log.sync_to(2)
+        await log.wait_synced(2)
         disk.full = True
         log.append(entries(1, 3))
         with self.assertRaises(errors.DiskFullError):
-            await log.sync_to(3)
+            await log.wait_synced(3)
         self.assertEqual(2, log.synced_index)
         disk.full = False
         log.append(entries(1, 4))
-        await log.sync_to(4)
+        await log.wait_synced(4)
         task.cancel()
         after = disk.crash()
         names = [name for name in after.names() if name.startswith("log-")]
@@ -248,7 +248,7 @@
         waiters = []
         for index in range(2, 34):
             log.append(entries(1, index))
-            waiters.append(asyncio.ensure_future(log.sync_to(index)))
+            waiters.append(asyncio.ensure_future(log.wait_synced(index)))
         before = disk.syncs
         await asyncio.gather(*waiters)
         task.cancel()
