--- a/endivesill/control/bootstrap.py
+++ b/endivesill/control/bootstrap.py
@@ -137,7 +137,7 @@
         voter_set = VoterSet(voters)
         cluster = voter_set.cluster_id()
         snapshot = Snapshot(FIRST_INDEX, FIRST_TERM, 0.0, cluster, voter_set)
-        await core.storage.save_snapshot(snapshot.to_text(), snapshot.head())
+        await core.storage.save_snapshot(snapshot.to_text(), snapshot.header())
         await core.log.reset(FIRST_INDEX, FIRST_TERM)
         core.install_snapshot(snapshot)
         events.emit(BOOTSTRAPPED, cluster=cluster, voters=voters)
--- a/endivesill/control/commands.py
+++ b/endivesill/control/commands.py
@@ -1,8 +1,8 @@
 """Commands and queries of the replicated state, by name.
 
 A command changes the state and must be deterministic: the same state, message
-and context give the same result on each replica. A query only reads. Packages
-register theirs with decorators; the control replicas run them.
+and context give the same result on each replica. A query only reads the state.
+Packages register their functions with the decorators `command` and `query`.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @attrs.frozen
 class CommandContext:
-    """Where a command stands in the log.
+    """Log position and time of a command.
 
     Attributes:
-      index: the log index of its entry; usable as a fencing token.
-      time_s: the leader's time when it was proposed; never goes back.
+      index: the log index of the command's entry; usable as a fencing token.
+      time_s: the cluster time at which the leader appended it; never goes back.
     """
 
     index: int
@@ -47,7 +47,7 @@
     sections: dict[str, dict[str, Any]] = attrs.Factory(dict)
 
     def section(self, name: str) -> dict[str, Any]:
-        """Return a section, made empty when first asked for."""
+        """Return a section, creating it empty if it does not exist."""
         return self.sections.setdefault(name, {})
 
 
@@ -59,7 +59,7 @@
 
 
 def command(name: str) -> Callable[[CommandFunction], CommandFunction]:
-    """Register a command, such as `configuration.apply`."""
+    """Register a command under a name such as `configuration.apply`."""
 
     def register(function: CommandFunction) -> CommandFunction:
         COMMANDS[name] = function
@@ -69,7 +69,7 @@
 
 
 def query(name: str) -> Callable[[QueryFunction], QueryFunction]:
-    """Register a query, such as `configuration.current`."""
+    """Register a query under a name such as `configuration.current`."""
 
     def register(function: QueryFunction) -> QueryFunction:
         QUERIES[name] = function
@@ -81,10 +81,10 @@
 def run_command(
     state: State, name: str, message: Message, context: CommandContext
 ) -> Message:
-    """Run a command against the state.
+    """Run a command on the state and return its result.
 
     Raises:
-      EndivesillError: no such command.
+      EndivesillError: the command is not registered; its own errors pass through.
     """
     function = COMMANDS.get(name)
     if function is None:
@@ -93,10 +93,10 @@
 
 
 def run_query(state: State, name: str, message: Message) -> Message:
-    """Run a query against the state.
+    """Run a query on the state and return its result.
 
     Raises:
-      EndivesillError: no such query.
+      EndivesillError: the query is not registered; its own errors pass through.
     """
     function = QUERIES.get(name)
     if function is None:
--- a/endivesill/control/disk.py
+++ b/endivesill/control/disk.py
@@ -1,7 +1,7 @@
-"""The files of a replica, in one data folder.
+"""File storage of a replica.
 
-Data last only once they are synced. `FileDisk` is the real folder; its sibling
-for tests, `MemoryDisk`, forgets what was not synced.
+Written data are durable only after a sync. `FileDisk` stores files in a folder;
+`MemoryDisk`, for tests, can lose unsynced data in a simulated crash.
 """
 
 from __future__ import annotations
@@ -27,63 +27,66 @@
 
 
 class Disk:
-    """Base of the disks: flat files that are appended to or replaced."""
+    """Base class of disks: a flat set of files that are appended to or replaced.
+
+    Operations raise StorageError if the file system reports an error.
+    """
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the names of all files in sorted order."""
         raise NotImplementedError
 
     def read(self, name: str) -> bytes:
-        """Return a file's content."""
+        """Return the whole content of a file."""
         raise NotImplementedError
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file; it lasts only after `sync`.
+        """Append data to a file; they are durable only after `sync`.
 
         Raises:
-          DiskFullError: a part of the data may have been written.
+          DiskFullError: part of the data may have been written.
         """
         raise NotImplementedError
 
     async def create(self, name: str) -> None:
-        """Create an empty file that lasts."""
+        """Create an empty file durably."""
         raise NotImplementedError
 
     async def sync(self, name: str) -> None:
-        """Make all that was written to a file last."""
+        """Make all data written to a file durable."""
         raise NotImplementedError
 
     async def truncate(self, name: str, size_bytes: int) -> None:
-        """Cut a file to a size, for good."""
+        """Truncate a file durably."""
         raise NotImplementedError
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Give a file a new content, all of it or none, for good."""
+        """Replace a file's content atomically and durably."""
         raise NotImplementedError
 
     async def remove(self, name: str) -> None:
-        """Remove a file, if there is one, for good."""
+        """Remove a file durably, if it exists."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Release the files."""
+        """Close all files."""
 
 
 class FileDisk(Disk):
-    """A folder of the machine; one process at a time.
+    """Files in a folder that is locked by one process.
 
-    Syncs run in a thread of their own, so that they do not hold up the loop.
+    Syncs run in a separate thread, so that they do not block the event loop.
 
     Args:
-      folder: the data folder; it is made if it is missing.
+      folder: the data folder; created if it does not exist.
 
     Raises:
-      StorageError: another process holds the folder.
+      StorageError: another process has locked the folder.
     """
 
     def __init__(self, folder: str | os.PathLike[str]) -> None:
         self._folder = pathlib.Path(folder)
-        _make_folder(self._folder)
+        _make_durable_folder(self._folder)
         self._folder_descriptor = os.open(self._folder, os.O_RDONLY)
         self._descriptors: dict[str, int] = {}
         self._lock_descriptor = self._lock()
@@ -105,7 +108,7 @@
         return descriptor
 
     def names(self) -> list[str]:
-        """Return the files' names; see the base class."""
+        """Return all file names except the lock file; see the base class."""
         return sorted(
             path.name
             for path in self._folder.iterdir()
@@ -114,35 +117,35 @@
 
     def read(self, name: str) -> bytes:
         """Read a file; see the base class."""
-        return _checked(name, (self._folder / name).read_bytes)
+        return _convert_os_errors(name, (self._folder / name).read_bytes)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end; see the base class."""
-        _checked(name, lambda: _write_all(self._descriptor(name), data))
+        """Append to a file, in the calling thread; see the base class."""
+        _convert_os_errors(name, lambda: _write_all(self._descriptor(name), data))
 
     async def create(self, name: str) -> None:
         """Create a file; see the base class."""
         self._descriptor(name)
-        await self._run(name, lambda: os.fsync(self._folder_descriptor))
+        await self._run_in_thread(name, lambda: os.fsync(self._folder_descriptor))
 
     async def sync(self, name: str) -> None:
         """Sync a file; see the base class."""
         descriptor = self._descriptor(name)
-        await self._run(name, lambda: os.fdatasync(descriptor))
+        await self._run_in_thread(name, lambda: os.fdatasync(descriptor))
 
     async def truncate(self, name: str, size_bytes: int) -> None:
-        """Cut a file; see the base class."""
+        """Truncate a file; see the base class."""
         descriptor = self._descriptor(name)
 
-        def cut() -> None:
+        def truncate_file() -> None:
             os.ftruncate(descriptor, size_bytes)
             os.fsync(descriptor)
 
-        await self._run(name, cut)
+        await self._run_in_thread(name, truncate_file)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Replace a file; see the base class."""
-        self._forget(name)
+        """Replace a file by a rename; see the base class."""
+        self._close_file(name)
         path = self._folder / name
         temporary = self._folder / (name + TEMPORARY_SUFFIX)
 
@@ -157,49 +160,49 @@
             os.rename(temporary, path)
             os.fsync(self._folder_descriptor)
 
-        await self._run(name, write)
+        await self._run_in_thread(name, write)
 
     async def remove(self, name: str) -> None:
         """Remove a file; see the base class."""
-        self._forget(name)
+        self._close_file(name)
 
         def remove() -> None:
             (self._folder / name).unlink(missing_ok=True)
             os.fsync(self._folder_descriptor)
 
-        await self._run(name, remove)
+        await self._run_in_thread(name, remove)
 
     def close(self) -> None:
-        """Close all files and let go of the folder."""
+        """Wait for pending syncs, close all files and unlock the folder."""
         self._executor.shutdown(wait=True)
         for name in list(self._descriptors):
-            self._forget(name)
+            self._close_file(name)
         os.close(self._folder_descriptor)
         os.close(self._lock_descriptor)
 
     def _descriptor(self, name: str) -> int:
         if name not in self._descriptors:
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-            self._descriptors[name] = _checked(
+            self._descriptors[name] = _convert_os_errors(
                 name, lambda: os.open(self._folder / name, flags, FILE_MODE)
             )
         return self._descriptors[name]
 
-    def _forget(self, name: str) -> None:
+    def _close_file(self, name: str) -> None:
         descriptor = self._descriptors.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
 
-    async def _run(self, name: str, function: Callable[[], Any]) -> None:
+    async def _run_in_thread(self, name: str, function: Callable[[], Any]) -> None:
         loop = asyncio.get_running_loop()
-        await loop.run_in_executor(self._executor, _checked, name, function)
+        await loop.run_in_executor(self._executor, _convert_os_errors, name, function)
 
 
-def _make_folder(folder: pathlib.Path) -> None:
-    """Make a folder that lasts, with the folders above it."""
+def _make_durable_folder(folder: pathlib.Path) -> None:
+    """Create a folder and its parents durably."""
     if folder.is_dir():
         return
-    _make_folder(folder.absolute().parent)
+    _make_durable_folder(folder.absolute().parent)
     folder.mkdir(exist_ok=True)
     descriptor = os.open(folder.absolute().parent, os.O_RDONLY)
     try:
@@ -214,8 +217,13 @@
         view = view[os.write(descriptor, view) :]
 
 
-def _checked(name: str, function: Callable[[], T]) -> T:
-    """Run a call of the operating system and give its errors their class."""
+def _convert_os_errors(name: str, function: Callable[[], T]) -> T:
+    """Call a function and convert its OSError to a StorageError.
+
+    Raises:
+      DiskFullError: there is no space or the quota is used up.
+      StorageError: any other error of the operating system.
+    """
     try:
         return function()
     except OSError as error:
--- a/endivesill/control/entries.py
+++ b/endivesill/control/entries.py
@@ -15,10 +15,11 @@
 
 
 class EntryKind(enum.Enum):
-    """What an entry is for.
+    """Kind of a log entry.
 
-    NO_OP begins a leader's term; VOTERS changes the voters; SNAPSHOT is never in
-    the log and stands for a state that was taken over as a whole.
+    NO_OP is the first entry of a leader's term; COMMAND holds a proposal; VOTERS
+    holds a new voter set; SNAPSHOT is never in the log, it tells listeners that a
+    snapshot was installed.
     """
 
     NO_OP = "no-op"
@@ -29,14 +30,14 @@
 
 @attrs.frozen
 class Proposal:
-    """A command as a client proposes it.
+    """A command proposed by a client.
 
     Attributes:
-      command: its name.
-      message: its argument.
-      client: the client's id.
-      sequence: the client's number of the proposal; a resend repeats it.
-      answered: every lower number of this client has its answer.
+      command: the command's name.
+      message: the command's argument.
+      client: the client ID.
+      sequence: the client's sequence number; a resend has the same one.
+      answered: the client has the answers to all lower sequence numbers.
     """
 
     command: str
@@ -59,16 +60,16 @@
 
 @attrs.frozen
 class LogEntry:
-    """One entry.
+    """One log entry.
 
-    The body is kept as text: what a command does to its argument cannot change
-    the log.
+    The body is kept as text, so that a command that modifies its argument does not
+    modify the log.
 
     Attributes:
-      index: its place, from 1.
-      term: the term of the leader that appended it.
-      time_s: the cluster's time, which never goes back.
-      kind: what it is for.
+      index: the position in the log, from 1.
+      term: the term of the leader that appended the entry.
+      time_s: the cluster time, which never goes back.
+      kind: the kind of the entry.
       body: the proposal or the voter set, as JSON text.
     """
 
@@ -83,24 +84,24 @@
         return Proposal(**json.loads(self.body))
 
     def voter_set(self) -> VoterSet:
-        """Return the voters of a VOTERS entry."""
+        """Return the voter set of a VOTERS entry."""
         return VoterSet.from_document(json.loads(self.body))
 
     def to_row(self) -> list[Any]:
-        """Return the entry as a JSON array."""
+        """Return the entry as `[index, term, time_s, kind, body]`."""
         return [self.index, self.term, self.time_s, self.kind.value, self.body]
 
     @classmethod
     def from_row(cls, row: list[Any]) -> LogEntry:
-        """Return the entry of a JSON array."""
+        """Return the entry that `to_row` encoded."""
         index, term, time_s, kind, body = row
         return cls(index, term, time_s, EntryKind(kind), body)
 
     def to_bytes(self) -> bytes:
-        """Return the entry as it stands on disk."""
+        """Return the entry as JSON bytes for the log file."""
         return json.dumps(self.to_row(), separators=(",", ":")).encode()
 
     @classmethod
     def from_bytes(cls, data: bytes) -> LogEntry:
-        """Return the entry of bytes from disk."""
+        """Return the entry that `to_bytes` encoded."""
         return cls.from_row(json.loads(data))
--- a/endivesill/control/follower.py
+++ b/endivesill/control/follower.py
@@ -184,7 +184,7 @@
     async def _install_snapshot(self, text: str) -> None:
         core = self._core
         snapshot = Snapshot.from_text(text)
-        await core.storage.save_snapshot(text, snapshot.head())
+        await core.storage.save_snapshot(text, snapshot.header())
         if core.log.term_at(snapshot.index) != snapshot.term:
             await core.log.reset(snapshot.index, snapshot.term)
         core.install_snapshot(snapshot)
--- a/endivesill/control/log.py
+++ b/endivesill/control/log.py
@@ -1,7 +1,7 @@
-"""The replicated log of one replica: in memory, and in files of records.
+"""The replicated log of one replica, in memory and in segment files.
 
-Entries are taken into memory at once and written by one task, which syncs all
-that has come meanwhile in one go (group commit).
+Entries are appended in memory at once. One task writes them to disk; it syncs all
+entries appended since the previous sync together (group commit).
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 __all__ = ["Log"]
 
-PREFIX = "log-"
-NAME_DIGITS = 20
+SEGMENT_PREFIX = "log-"
+INDEX_DIGITS = 20
 
 
 @attrs.define
 class _Segment:
-    """One file of the log.
+    """One segment file of the log.
 
     Attributes:
-      first_index: the index of its first entry.
-      size_bytes: how much of it is synced.
-      offsets: where each of its entries begins.
+      first_index: index of the first entry; part of the file name.
+      size_bytes: size of the synced part.
+      offsets: byte offset of each entry's record.
     """
 
     first_index: int
@@ -40,29 +40,30 @@
 
     @property
     def name(self) -> str:
-        """The file's name."""
-        return f"{PREFIX}{self.first_index:0{NAME_DIGITS}d}"
+        """The file name, which sorts by index."""
+        return f"{SEGMENT_PREFIX}{self.first_index:0{INDEX_DIGITS}d}"
 
     @property
     def last_index(self) -> int:
-        """The index of its last entry; one under the first if it is empty."""
+        """Index of the last entry; first_index - 1 if the segment is empty."""
         return self.first_index + len(self.offsets) - 1
 
 
 class Log:
-    """The entries behind a snapshot.
+    """The retained entries of the replicated log, in memory and on disk.
 
     Args:
-      disk: where the files are.
-      segment_bytes: size at which a new file is begun.
+      disk: the storage of the segment files.
+      segment_bytes: size at which a new segment is started.
 
     Attributes:
-      base_index: the index before the first entry that is held.
-      base_term: the term of that index.
-      synced_index: the last index that is on disk for good.
-      failure: why the disk cannot be used any more, or None.
-      last_error: why the last sync failed, or None if it did not.
-      grown: notified after each append.
+      base_index: the index before the first retained entry.
+      base_term: the term of the entry at base_index.
+      synced_index: the last index that is synced to disk.
+      fatal_error: the error after which the state of the files is unknown and
+        nothing is written any more, or None.
+      last_error: the error of the last sync, or None if it succeeded.
+      appended: notified after each append.
     """
 
     def __init__(self, disk: Disk, segment_bytes: int) -> None:
@@ -73,41 +74,44 @@
         self._lock = asyncio.Lock()
         self._dirty = asyncio.Event()
         self._changed = Signal()
-        self._failures: int = 0
+        self._failure_count: int = 0
         self._listeners: list[Callable[[], None]] = []
         self.base_index = 0
         self.base_term = 0
         self.synced_index = 0
-        self.failure: errors.StorageError | None = None
+        self.fatal_error: errors.StorageError | None = None
         self.last_error: errors.StorageError | None = None
         self.appended = Signal()
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, synced or not."""
+        """Index of the last entry, synced or not."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Term of the last entry."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def first_index(self) -> int:
-        """The lowest index whose entry is held."""
+        """Index of the first retained entry."""
         return self.base_index + 1
 
     def entry(self, index: int) -> LogEntry:
-        """Return the entry at an index that is held."""
+        """Return the entry at an index, which must be retained."""
         return self._entries[index - self.base_index - 1]
 
     def entries(self, first: int, last: int) -> list[LogEntry]:
-        """Return the entries from one index to another, both included."""
+        """Return the entries from `first` to `last`, both included."""
         start = first - self.base_index - 1
         return self._entries[start : last - self.base_index]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an index, or None if it is not known here."""
+        """Return the term of the entry at an index.
+
+        None means that the entry is compacted or beyond the end of the log.
+        """
         if index == self.base_index:
             return self.base_term
         if not self.first_index <= index <= self.last_index:
@@ -115,33 +119,34 @@
         return self.entry(index).term
 
     def add_sync_listener(self, listener: Callable[[], None]) -> None:
-        """Call a listener after each sync and after each failure of one."""
+        """Call a listener after each sync, failed sync, truncation and reset."""
         self._listeners.append(listener)
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Take entries into memory; the writer task makes them last."""
+        """Append entries in memory; `run` writes and syncs them."""
         self._entries.extend(entries)
         self._dirty.set()
         self.appended.notify()
 
     async def wait_synced(self, index: int) -> None:
-        """Wait until an entry is on disk for good.
+        """Wait until the entry at an index is synced to disk.
 
         Raises:
-          StorageError: the disk refused; the entry may be written later.
+          StorageError: a sync failed or the entry was truncated; after a failed
+            sync the entry may still be written later.
         """
-        failures = self._failures
+        failure_count = self._failure_count
         if self.synced_index < index:
             self._dirty.set()
         while self.synced_index < index:
-            if self._failures != failures or self.failure is not None:
-                raise _copy(self.last_error or self.failure)
+            if self._failure_count != failure_count or self.fatal_error is not None:
+                raise _copy_error(self.last_error or self.fatal_error)
             if index > self.last_index:
                 raise errors.StorageError(f"entry {index} was cut off")
             await self._changed.wait()
 
     async def run(self) -> None:
-        """Write and sync what is appended, for as long as the replica runs."""
+        """Write and sync appended entries until cancelled."""
         while True:
             await self._dirty.wait()
             self._dirty.clear()
@@ -150,19 +155,19 @@
                     await self._flush()
                 self.last_error = None
             except errors.StorageError as error:
-                self._failures += 1
+                self._failure_count += 1
                 self.last_error = error
                 events.emit(DISK_FAILED, error=str(error))
-            self._announce()
+            self._notify_listeners()
 
-    def _announce(self) -> None:
+    def _notify_listeners(self) -> None:
         self._changed.notify()
         for listener in self._listeners:
             listener()
 
     async def _flush(self) -> None:
-        if self.failure is not None:
-            raise _copy(self.failure)
+        if self.fatal_error is not None:
+            raise _copy_error(self.fatal_error)
         batch = self.entries(self.synced_index + 1, self.last_index)
         if not batch:
             return
@@ -171,23 +176,26 @@
         try:
             self._disk.append(segment.name, data)
         except errors.DiskFullError:
-            # A part may have been written; the file must end at a record.
-            await self._or_fail(self._disk.truncate(segment.name, segment.size_bytes))
+            # Part of the batch may have been written; the file must end with a
+            # complete record.
+            await self._fatal_on_error(
+                self._disk.truncate(segment.name, segment.size_bytes)
+            )
             raise
         except errors.StorageError as error:
-            self.failure = error
+            self.fatal_error = error
             raise
-        await self._or_fail(self._disk.sync(segment.name))
+        await self._fatal_on_error(self._disk.sync(segment.name))
         segment.offsets.extend(offsets)
         segment.size_bytes += len(data)
         self.synced_index = batch[-1].index
 
-    async def _or_fail(self, operation: Awaitable[None]) -> None:
-        """Await an operation after whose failure the files are not known."""
+    async def _fatal_on_error(self, operation: Awaitable[None]) -> None:
+        """Await an operation whose failure leaves the files in an unknown state."""
         try:
             await operation
         except errors.StorageError as error:
-            self.failure = error
+            self.fatal_error = error
             raise
 
     async def _open_segment(self, first_index: int) -> _Segment:
@@ -197,21 +205,25 @@
         try:
             await self._disk.create(segment.name)
         except errors.StorageError:
-            await self._or_fail(self._disk.remove(segment.name))
+            await self._fatal_on_error(self._disk.remove(segment.name))
             raise
         self._segments.append(segment)
         return segment
 
     async def truncate_from(self, index: int) -> None:
-        """Cut off the entry at an index and all behind it, for good."""
+        """Remove the entry at an index and all later ones, in memory and on disk.
+
+        Raises:
+          StorageError: the files could not be truncated.
+        """
         async with self._lock:
             del self._entries[index - self.base_index - 1 :]
             if self.synced_index >= index:
                 self.synced_index = index - 1
-                await self._or_fail(self._cut_files(index))
-        self._announce()
+                await self._fatal_on_error(self._truncate_files(index))
+        self._notify_listeners()
 
-    async def _cut_files(self, index: int) -> None:
+    async def _truncate_files(self, index: int) -> None:
         while self._segments and self._segments[-1].first_index >= index:
             await self._disk.remove(self._segments.pop().name)
         if not self._segments or self._segments[-1].last_index < index:
@@ -223,7 +235,13 @@
         await self._disk.truncate(segment.name, segment.size_bytes)
 
     async def compact_to(self, index: int) -> None:
-        """Let go of synced entries up to an index that a snapshot holds."""
+        """Discard synced entries up to an index that a snapshot includes.
+
+        Segment files are removed once all their entries are discarded.
+
+        Raises:
+          StorageError: a segment file could not be removed.
+        """
         async with self._lock:
             index = min(index, self.synced_index)
             if index <= self.base_index:
@@ -233,70 +251,74 @@
             del self._entries[: index - self.base_index]
             self.base_index, self.base_term = index, term
             while len(self._segments) > 1 and self._segments[0].last_index <= index:
-                await self._or_fail(self._disk.remove(self._segments[0].name))
+                await self._fatal_on_error(self._disk.remove(self._segments[0].name))
                 del self._segments[0]
 
     async def reset(self, index: int, term: int) -> None:
-        """Drop every entry; the log goes on after an index."""
+        """Discard all entries; the next entry has the index after the given one.
+
+        Raises:
+          StorageError: a segment file could not be removed.
+        """
         async with self._lock:
             self._entries.clear()
             self.base_index, self.base_term = index, term
             self.synced_index = index
             while self._segments:
-                # From the last to the first, so that a crash leaves no gap.
+                # Last segment first, so that a crash leaves no gap.
                 name = self._segments.pop().name
-                await self._or_fail(self._disk.remove(name))
-        self._announce()
+                await self._fatal_on_error(self._disk.remove(name))
+        self._notify_listeners()
 
     async def recover(self, snapshot_index: int, snapshot_term: int) -> None:
-        """Read the files after a start.
+        """Read the segment files after a start and truncate a torn tail.
 
         Args:
-          snapshot_index: the last index that the snapshot holds.
-          snapshot_term: its term.
+          snapshot_index: the last index that the snapshot includes; 0 without one.
+          snapshot_term: the term of the entry at that index.
 
         Raises:
           StorageCorruptError: a file is damaged, or entries are missing.
         """
-        names = [name for name in self._disk.names() if name.startswith(PREFIX)]
+        names = [name for name in self._disk.names() if name.startswith(SEGMENT_PREFIX)]
         entries: list[LogEntry] = []
         for name in names:
             segment = self._read_segment(name, entries, name == names[-1])
-            await self._cut_torn_tail(segment)
+            await self._truncate_torn_tail(segment)
         if self._segments:
             self.base_index = self._segments[0].first_index - 1
         self._entries = entries
         self.synced_index = self.last_index
-        await self._join_snapshot(snapshot_index, snapshot_term)
+        await self._align_with_snapshot(snapshot_index, snapshot_term)
 
     def _read_segment(
         self, name: str, entries: list[LogEntry], is_last: bool
     ) -> _Segment:
         records = read_records(name, self._disk.read(name), may_be_torn=is_last)
-        segment = _Segment(int(name[len(PREFIX) :]))
-        expected = segment.first_index
-        if self._segments and self._segments[-1].last_index + 1 != expected:
-            raise errors.StorageCorruptError(f"{name}: entries before it are missing")
+        segment = _Segment(int(name[len(SEGMENT_PREFIX) :]))
+        expected_index = segment.first_index
+        if self._segments and self._segments[-1].last_index + 1 != expected_index:
+            raise errors.StorageCorruptError(f"{name}: preceding entries are missing")
         for record in records:
             entry = LogEntry.from_bytes(record.payload)
-            if entry.index != expected:
+            if entry.index != expected_index:
                 raise errors.StorageCorruptError(
-                    f"{name}: entry {entry.index} in place of {expected} "
+                    f"{name}: expected entry {expected_index}, found {entry.index} "
                     f"at offset {record.offset}"
                 )
             entries.append(entry)
             segment.offsets.append(record.offset)
-            expected += 1
+            expected_index += 1
         segment.size_bytes = records[-1].end if records else 0
         self._segments.append(segment)
         return segment
 
-    async def _cut_torn_tail(self, segment: _Segment) -> None:
+    async def _truncate_torn_tail(self, segment: _Segment) -> None:
         if len(self._disk.read(segment.name)) > segment.size_bytes:
             await self._disk.truncate(segment.name, segment.size_bytes)
 
-    async def _join_snapshot(self, index: int, term: int) -> None:
-        """Let the log follow the snapshot, or drop it where it does not."""
+    async def _align_with_snapshot(self, index: int, term: int) -> None:
+        """Discard the log if it does not continue the snapshot."""
         if index and self.base_index > index:
             raise errors.StorageCorruptError(
                 f"{self._segments[0].name}: entries after {index} are missing"
@@ -304,14 +326,15 @@
         if index == self.base_index:
             self.base_term = term
         elif self.term_at(index) == term:
-            # The term before the first entry is not on disk.
+            # The term before the first entry is not on disk, so the first entry
+            # becomes the base.
             await self.compact_to(self.first_index)
         else:
             await self.reset(index, term)
 
 
-def _copy(error: errors.StorageError | None) -> errors.StorageError:
-    """Return an error to raise in another task, with a traceback of its own."""
+def _copy_error(error: errors.StorageError | None) -> errors.StorageError:
+    """Return a copy of an error, so that each task has its own traceback."""
     if isinstance(error, errors.DiskFullError):
         return errors.DiskFullError(str(error))
     return errors.StorageError(str(error or "the log has failed"))
--- a/endivesill/control/machine.py
+++ b/endivesill/control/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: entries go in, results come out."""
+"""The replicated state machine, which applies committed log entries."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 @attrs.frozen
 class Applied:
-    """What listeners are told after each applied entry.
+    """Notification of an applied entry.
 
     Attributes:
       index: the entry's index.
-      kind: its kind; SNAPSHOT says that the state as a whole was replaced.
-      command: the command's name, or the empty string.
+      kind: the entry's kind; SNAPSHOT if a snapshot replaced the whole state.
+      command: the command's name; empty unless the entry holds a command.
       message: the command's argument.
-      result: what it returned; empty if it raised.
-      failure: the error that it raised, or the empty string.
-      time_s: the cluster's time.
-      repeated: whether the command was a resend that was not run again.
+      result: the command's result; empty if it raised an error.
+      failure: text of the error that the command raised; empty if it did not.
+      time_s: the cluster time of the entry.
+      is_duplicate: whether the command was a resend and was not run again.
     """
 
     index: int
@@ -40,7 +40,7 @@
     result: Message = attrs.Factory(dict)
     failure: str = ""
     time_s: float = 0.0
-    repeated: bool = False
+    is_duplicate: bool = False
 
 
 class StateMachine:
@@ -48,11 +48,11 @@
 
     Attributes:
       state: the sections that commands change and queries read.
-      sessions: results of earlier proposals.
-      applied_index: the last applied index.
-      applied_term: its term.
-      time_s: the cluster's time at it.
-      newest: the index of the last applied command of each name.
+      sessions: results of earlier proposals, to detect duplicates.
+      applied_index: the index of the last applied entry.
+      applied_term: the term of that entry.
+      time_s: the cluster time of that entry.
+      newest_index_by_command: index of the last applied command of each name.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self.applied_index = 0
         self.applied_term = 0
         self.time_s = 0.0
-        self.newest: dict[str, int] = {}
+        self.newest_index_by_command: dict[str, int] = {}
         self._listeners: list[Callable[[Applied], None]] = []
 
     def subscribe(self, listener: Callable[[Applied], None]) -> None:
@@ -69,11 +69,11 @@
         self._listeners.append(listener)
 
     def apply(self, entry: LogEntry) -> Message:
-        """Apply the next entry.
+        """Apply the next entry and notify the listeners.
 
         Returns:
-          `{"result": ...}`, or `{"failure": CLASS, "text": ...}` of a command
-          that raised an error.
+          `{"result": ...}`, or `{"failure": CLASS, "text": ...}` if the command
+          raised an error.
         """
         self.applied_index = entry.index
         self.applied_term = entry.term
@@ -82,10 +82,10 @@
         applied = Applied(entry.index, entry.kind, time_s=entry.time_s)
         if entry.kind is EntryKind.COMMAND:
             outcome, applied = self._apply_command(entry)
-        self._tell(applied)
+        self._notify_listeners(applied)
         return outcome
 
-    def _tell(self, applied: Applied) -> None:
+    def _notify_listeners(self, applied: Applied) -> None:
         for listener in self._listeners:
             try:
                 listener(applied)
@@ -97,15 +97,15 @@
     def _apply_command(self, entry: LogEntry) -> tuple[Message, Applied]:
         proposal = entry.proposal()
         outcome = self.sessions.result(proposal.client, proposal.sequence)
-        repeated = outcome is not None
+        is_duplicate = outcome is not None
         if outcome is None and self.sessions.is_stale(
             proposal.client, proposal.sequence
         ):
-            repeated = True
+            is_duplicate = True
             outcome = {"failure": "EndivesillError", "text": "a stale resend"}
         if outcome is None:
-            outcome = self._run(proposal, entry)
-            self.newest[proposal.command] = entry.index
+            outcome = self._run_command(proposal, entry)
+            self.newest_index_by_command[proposal.command] = entry.index
             self.sessions.record(proposal, outcome, entry.time_s)
         applied = Applied(
             entry.index,
@@ -115,24 +115,28 @@
             outcome.get("result", {}),
             outcome.get("text", ""),
             entry.time_s,
-            repeated,
+            is_duplicate,
         )
         return outcome, applied
 
-    def _run(self, proposal: Proposal, entry: LogEntry) -> Message:
+    def _run_command(self, proposal: Proposal, entry: LogEntry) -> Message:
         context = CommandContext(entry.index, entry.time_s)
         name, message = proposal.command, proposal.message
         try:
             return {"result": run_command(self.state, name, message, context)}
         except Exception as error:
-            # Each replica meets the same error, so that the states stay equal.
+            # Commands are deterministic: each replica gets the same error and the
+            # states stay equal.
             events.emit(
                 COMMAND_FAILED, index=entry.index, command=name, error=repr(error)
             )
             return {"failure": type(error).__name__, "text": str(error)}
 
     def to_snapshot(self, cluster: str, voter_set: VoterSet) -> Snapshot:
-        """Return the present state as a snapshot that shares its objects."""
+        """Return a snapshot of the current state, which shares its objects.
+
+        No entry may be applied while the snapshot is in use.
+        """
         return Snapshot(
             self.applied_index,
             self.applied_term,
@@ -141,11 +145,15 @@
             voter_set,
             self.state.sections,
             self.sessions.to_document(),
-            self.newest,
+            self.newest_index_by_command,
         )
 
     def load(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot's state and tell the listeners."""
+        """Replace the state by that of a snapshot and notify the listeners.
+
+        Raises:
+          EndivesillError: the snapshot is older than the state.
+        """
         if snapshot.index < self.applied_index:
             raise errors.EndivesillError("a snapshot must not go back")
         self.state.sections = snapshot.sections
@@ -153,5 +161,7 @@
         self.applied_index = snapshot.index
         self.applied_term = snapshot.term
         self.time_s = snapshot.time_s
-        self.newest = dict(snapshot.newest)
-        self._tell(Applied(snapshot.index, EntryKind.SNAPSHOT, time_s=snapshot.time_s))
+        self.newest_index_by_command = dict(snapshot.newest)
+        self._notify_listeners(
+            Applied(snapshot.index, EntryKind.SNAPSHOT, time_s=snapshot.time_s)
+        )
--- a/endivesill/control/memory_disk.py
+++ b/endivesill/control/memory_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that can lose, tear and reorder what was not synced."""
+"""An in-memory disk that can lose, tear and reorder unsynced writes."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 @attrs.define
 class _File:
-    """A file's content, and what of it would survive a crash."""
+    """A file's current content, and the content that is sure to survive a crash."""
 
     data: bytearray = attrs.Factory(bytearray)
     durable: bytes = b""
 
 
 class MemoryDisk(Disk):
-    """A disk for tests.
+    """A disk for tests, with simulated crashes and faults.
 
-    Every operation that changes the disk is a write boundary with a number. A
-    disk that stops at a boundary does not do that operation, or does a part of
-    it, and refuses all that follow.
+    Operations that change the disk are numbered from 1 as write boundaries. A disk
+    that stops at a boundary carries out that operation partly or not at all, and
+    rejects all later ones.
 
     Args:
-      files: the first content, by name.
+      files: the initial content by file name.
 
     Attributes:
-      boundaries: how many operations were begun.
-      stop_at: the number of the operation at which to stop, or None.
-      full: whether writes fail for want of space.
-      syncs: how many syncs were done.
+      boundaries: the number of operations started.
+      stop_at_boundary: the boundary at which to stop, or None.
+      full: whether writes fail with DiskFullError.
+      syncs: the number of completed syncs.
     """
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
@@ -46,33 +46,34 @@
         self._durable_names: dict[str, _File] = dict(self._files)
         self._stopped = False
         self.boundaries = 0
-        self.stop_at: int | None = None
+        self.stop_at_boundary: int | None = None
         self.full = False
         self.syncs = 0
 
     def crash(self, seed: int | None = None) -> MemoryDisk:
-        """Stop this disk and return what is found after the restart.
+        """Stop this disk and return a disk with the content after a restart.
 
         Args:
-          seed: chooses which sectors that were not synced survive; without it
-            none does.
+          seed: selects which unsynced sectors survive; with None, none survive.
         """
         self._stopped = True
-        chooser = random.Random(seed) if seed is not None else None
-        # A name that was not synced may have survived as well.
+        rng = random.Random(seed) if seed is not None else None
+        # An unsynced change of the file names may survive as well.
         names = self._durable_names
-        if chooser is not None and chooser.random() < 0.5:
+        if rng is not None and rng.random() < 0.5:
             names = self._files
-        return MemoryDisk({name: _survivor(f, chooser) for name, f in names.items()})
+        return MemoryDisk(
+            {name: _content_after_crash(f, rng) for name, f in names.items()}
+        )
 
-    def damage(self, name: str, offset: int) -> None:
-        """Flip one durable byte."""
+    def corrupt(self, name: str, offset: int) -> None:
+        """Invert one byte of a file, also in its durable content."""
         file = self._files[name]
         file.data[offset] ^= 0xFF
         file.durable = bytes(file.data)
 
     def names(self) -> list[str]:
-        """Return the files' names; see the base class."""
+        """Return the names of all files; see the base class."""
         return sorted(self._files)
 
     def read(self, name: str) -> bytes:
@@ -82,9 +83,9 @@
         return bytes(self._files[name].data)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end; see the base class."""
+        """Append to a file, half of the data if it fails; see the base class."""
         file = self._open(name)
-        if not self._begin():
+        if not self._enter_boundary():
             file.data += data[: len(data) // 2]
             raise self._stop_error()
         if self.full:
@@ -100,15 +101,15 @@
 
     async def sync(self, name: str) -> None:
         """Sync a file; see the base class."""
-        if not self._begin():
+        if not self._enter_boundary():
             raise self._stop_error()
         self.syncs += 1
         file = self._open(name)
         file.durable = bytes(file.data)
 
     async def truncate(self, name: str, size_bytes: int) -> None:
-        """Cut a file; see the base class."""
-        if not self._begin():
+        """Truncate a file; see the base class."""
+        if not self._enter_boundary():
             raise self._stop_error()
         file = self._open(name)
         del file.data[size_bytes:]
@@ -121,14 +122,14 @@
         self._files.pop(temporary, None)
         self.append(temporary, data)
         await self.sync(temporary)
-        if not self._begin():
+        if not self._enter_boundary():
             raise self._stop_error()
         self._files[name] = self._files.pop(temporary)
         self._sync_names()
 
     async def remove(self, name: str) -> None:
         """Remove a file; see the base class."""
-        if not self._begin():
+        if not self._enter_boundary():
             raise self._stop_error()
         self._files.pop(name, None)
         self._sync_names()
@@ -141,16 +142,20 @@
             raise errors.DiskFullError(f"{name}: no space")
 
     def _sync_names(self) -> None:
-        if not self._begin():
+        if not self._enter_boundary():
             raise self._stop_error()
         self._durable_names = dict(self._files)
 
-    def _begin(self) -> bool:
-        """Count a boundary; return whether its operation is to be done."""
+    def _enter_boundary(self) -> bool:
+        """Count a boundary; return whether the operation is to be carried out.
+
+        Raises:
+          StorageError: the disk stopped at an earlier boundary.
+        """
         if self._stopped:
             raise self._stop_error()
         self.boundaries += 1
-        if self.boundaries == self.stop_at:
+        if self.boundaries == self.stop_at_boundary:
             self._stopped = True
         return not self._stopped
 
@@ -158,16 +163,16 @@
         return errors.StorageError("the disk has stopped")
 
 
-def _survivor(file: _File, chooser: random.Random | None) -> bytes:
-    """Return a file after a crash: what was synced and some sectors more."""
-    if chooser is None or bytes(file.data) == file.durable:
+def _content_after_crash(file: _File, rng: random.Random | None) -> bytes:
+    """Return a file's content after a crash: synced data and some unsynced sectors."""
+    if rng is None or bytes(file.data) == file.durable:
         return file.durable
     if len(file.data) < len(file.durable):
-        return chooser.choice([bytes(file.data), file.durable])
-    end = chooser.randint(len(file.durable), len(file.data))
-    survivor = bytearray(file.data[:end])
+        return rng.choice([bytes(file.data), file.durable])
+    end = rng.randint(len(file.durable), len(file.data))
+    content = bytearray(file.data[:end])
     for start in range(len(file.durable), end, SECTOR_BYTES):
-        if chooser.random() < 0.5:
+        if rng.random() < 0.5:
             stop = min(start + SECTOR_BYTES, end)
-            survivor[start:stop] = bytes(stop - start)
-    return bytes(survivor)
+            content[start:stop] = bytes(stop - start)
+    return bytes(content)
--- a/endivesill/control/records.py
+++ b/endivesill/control/records.py
@@ -1,9 +1,9 @@
-"""Records of the files on disk: length, checksum and place.
+"""Record format of the files on disk: length, checksum and position.
 
-A file is written in batches, and a batch only after the one before it was
-synced. Each record says where its batch begins. So a damaged record with a
-record of a later batch behind it was synced once and has been damaged since; a
-damaged record of the last batch is the torn tail of a crash.
+A file is written in batches; a batch is written only after the previous one was
+synced. Each record holds the offset of its batch. A damaged record that is followed
+by a record of a later batch was therefore synced and corrupted afterwards, whereas
+a damaged record in the last batch is a torn write from a crash.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 __all__ = ["Record", "decode_file", "encode_file", "encode_record", "read_records"]
 
 _HEADER = struct.Struct(">IIQ")
-_PLACE = struct.Struct(">QQ")
-LARGEST_RECORD_BYTES = 64 * 1_048_576
+_POSITION = struct.Struct(">QQ")
+MAX_RECORD_BYTES = 64 * 1_048_576
 
 
 @attrs.frozen
@@ -27,10 +27,10 @@
     """One record of a file.
 
     Attributes:
-      offset: where it begins.
-      end: where the next one begins.
-      batch_offset: where its batch begins.
-      payload: what it holds.
+      offset: byte offset of the record in the file.
+      end: byte offset of the next record.
+      batch_offset: byte offset of the record's batch.
+      payload: the content.
     """
 
     offset: int
@@ -40,11 +40,11 @@
 
 
 def _checksum(payload: bytes, offset: int, batch_offset: int) -> int:
-    return zlib.crc32(payload, zlib.crc32(_PLACE.pack(offset, batch_offset)))
+    return zlib.crc32(payload, zlib.crc32(_POSITION.pack(offset, batch_offset)))
 
 
 def encode_record(payload: bytes, offset: int, batch_offset: int) -> bytes:
-    """Return the bytes of a record that will stand at an offset."""
+    """Return the bytes of a record to be written at an offset of the file."""
     checksum = _checksum(payload, offset, batch_offset)
     return _HEADER.pack(len(payload), checksum, batch_offset) + payload
 
@@ -55,7 +55,7 @@
     length, checksum, batch_offset = _HEADER.unpack_from(data, offset)
     start = offset + _HEADER.size
     end = start + length
-    if not 0 < length <= LARGEST_RECORD_BYTES or end > len(data):
+    if not 0 < length <= MAX_RECORD_BYTES or end > len(data):
         return None
     if batch_offset > offset:
         return None
@@ -66,15 +66,15 @@
 
 
 def read_records(name: str, data: bytes, *, may_be_torn: bool) -> list[Record]:
-    """Read the records of a file up to its torn tail.
+    """Return the records of a file, without a torn tail.
 
     Args:
-      name: the file's name, for the error.
-      data: its content.
-      may_be_torn: whether the file is the one that was written last.
+      name: the file's name, for error messages.
+      data: the file's content.
+      may_be_torn: whether a torn tail is possible: only in the last file.
 
     Raises:
-      StorageCorruptError: a record is damaged that was synced once.
+      StorageCorruptError: a record that had been synced is damaged.
     """
     records = []
     offset = 0
@@ -102,12 +102,12 @@
 
 
 def encode_file(payload: bytes) -> bytes:
-    """Return the content of a file that holds one record."""
+    """Return the content of a file that consists of one record."""
     return encode_record(payload, 0, 0)
 
 
 def decode_file(name: str, data: bytes) -> bytes:
-    """Return the payload of a file that holds one record.
+    """Return the payload of a file that consists of one record.
 
     Raises:
       StorageCorruptError: the file is damaged.
--- a/endivesill/control/replica.py
+++ b/endivesill/control/replica.py
@@ -220,7 +220,7 @@
             entry = log.entry(index)
             if entry.kind is EntryKind.COMMAND and entry.proposal().command == command:
                 return index
-        return machine.newest.get(command, 0)
+        return machine.newest_index_by_command.get(command, 0)
 
     def add_newest_field(self, name: str, read: Callable[[], Any]) -> None:
         """Add a field to what this replica answers under /control/newest."""
--- a/endivesill/control/replication.py
+++ b/endivesill/control/replication.py
@@ -183,8 +183,8 @@
 
     async def _send_snapshot(self) -> None:
         core = self._core
-        head = core.storage.head
-        assert head is not None
+        header = core.storage.snapshot_header
+        assert header is not None
         text = core.storage.snapshot_text()
         checksum = zlib.crc32(text.encode("ascii"))
         offset = 0
@@ -196,7 +196,7 @@
                 leader=core.identity,
                 address=core.transport.address,
                 term=self._leadership.term,
-                index=head.index,
+                index=header.index,
                 offset=offset,
                 size=len(text),
                 checksum=checksum,
@@ -207,7 +207,7 @@
                 await core.timer.sleep(core.settings.heartbeat_s)
                 return
             if response.installed:
-                self._handle_installed(head.index)
+                self._handle_installed(header.index)
                 return
             offset = response.offset
 
--- a/endivesill/control/sessions.py
+++ b/endivesill/control/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of clients: the results of their proposals, for resends."""
+"""Client sessions: results of earlier proposals, to detect duplicates."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from endivesill.control.entries import Proposal
 from endivesill.peers import Message
 
-__all__ = ["SESSION_LIFE_S", "Sessions"]
+__all__ = ["SESSION_LIFETIME_S", "Sessions"]
 
-SESSION_LIFE_S = 3_600.0
+SESSION_LIFETIME_S = 3_600.0
 
 
 @attrs.define
@@ -19,18 +19,19 @@
     """One client's session.
 
     Attributes:
-      used_s: the cluster's time of its last proposal.
-      answered: every lower sequence has its answer; a resend of it is late.
-      results: result by sequence, as JSON text.
+      last_used_s: the cluster time of the client's last proposal.
+      answered: the client has the results of all lower sequence numbers, which
+        are no longer kept.
+      results: result by sequence number, as JSON text.
     """
 
-    used_s: float
+    last_used_s: float
     answered: int = 0
     results: dict[int, str] = attrs.Factory(dict)
 
 
 class Sessions:
-    """The session table, a part of the replicated state."""
+    """The session table; part of the replicated state, so it must be deterministic."""
 
     def __init__(self) -> None:
         self._sessions: dict[str, _Session] = {}
@@ -39,22 +40,22 @@
         return len(self._sessions)
 
     def result(self, client: str, sequence: int) -> Message | None:
-        """Return the result of a proposal that was run already, or None."""
+        """Return the stored result of a proposal, or None if there is none."""
         session = self._sessions.get(client)
         text = session.results.get(sequence) if session else None
         return None if text is None else json.loads(text)
 
     def is_stale(self, client: str, sequence: int) -> bool:
-        """Tell whether the client has said that it has this one's answer."""
+        """Return whether the client has acknowledged the result of this proposal."""
         session = self._sessions.get(client)
         return session is not None and sequence < session.answered
 
     def record(self, proposal: Proposal, result: Message, time_s: float) -> None:
-        """Keep the result of a proposal and drop what is not needed any more."""
+        """Store a result; remove acknowledged results and expired sessions."""
         session = self._sessions.pop(proposal.client, None) or _Session(time_s)
-        # The table stays ordered by the time of the last use.
+        # Reinserted, so that the table stays ordered by last use.
         self._sessions[proposal.client] = session
-        session.used_s = time_s
+        session.last_used_s = time_s
         session.results[proposal.sequence] = json.dumps(result, separators=(",", ":"))
         if proposal.answered > session.answered:
             session.answered = proposal.answered
@@ -65,22 +66,22 @@
     def _expire(self, time_s: float) -> None:
         while self._sessions:
             client = next(iter(self._sessions))
-            if time_s - self._sessions[client].used_s <= SESSION_LIFE_S:
+            if time_s - self._sessions[client].last_used_s <= SESSION_LIFETIME_S:
                 return
             del self._sessions[client]
 
     def to_document(self) -> Message:
-        """Return the table as a JSON object."""
+        """Return `{client: [last_used_s, answered, [[sequence, result], ...]]}`."""
         return {
-            client: [s.used_s, s.answered, list(s.results.items())]
+            client: [s.last_used_s, s.answered, list(s.results.items())]
             for client, s in self._sessions.items()
         }
 
     @classmethod
     def from_document(cls, document: Message) -> Sessions:
-        """Return the table of a JSON object."""
+        """Return the table that `to_document` encoded."""
         sessions = cls()
-        for client, (used_s, answered, results) in document.items():
-            session = _Session(used_s, answered, dict(results))
+        for client, (last_used_s, answered, results) in document.items():
+            session = _Session(last_used_s, answered, dict(results))
             sessions._sessions[client] = session
         return sessions
--- a/endivesill/control/snapshots.py
+++ b/endivesill/control/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: all that a replica knows at one index of the log."""
+"""Snapshots of the replicated state at one log index."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state after an entry.
+    """The replicated state after the entry at an index.
 
     Attributes:
-      index: the entry's index.
-      term: its term.
-      time_s: the cluster's time at it.
-      cluster: the id of the cluster.
-      voter_set: who votes.
+      index: the last log index that the snapshot includes.
+      term: the term of the entry at that index.
+      time_s: the cluster time of that entry.
+      cluster: the cluster ID.
+      voter_set: the voters and learners as of that entry.
       sections: the sections of the state.
-      sessions: the clients' sessions.
-      newest: the index of the last command of each name.
+      sessions: the client sessions; see Sessions.to_document.
+      newest: index of the last applied command of each name.
     """
 
     index: int
@@ -42,8 +42,8 @@
     sessions: Message = attrs.Factory(dict)
     newest: dict[str, int] = attrs.Factory(dict)
 
-    def head(self) -> Snapshot:
-        """Return the snapshot without the state."""
+    def header(self) -> Snapshot:
+        """Return the snapshot without its state, for use as a header."""
         return attrs.evolve(self, sections={}, sessions={}, newest={})
 
     def to_text(self) -> str:
@@ -51,7 +51,7 @@
         return "".join(self.text_parts())
 
     def text_parts(self) -> Iterator[str]:
-        """Yield the text in parts that each take about a millisecond to make."""
+        """Yield the JSON text in parts that each take about a millisecond to encode."""
         document = {
             "index": self.index,
             "term": self.term,
@@ -71,10 +71,10 @@
 
     @classmethod
     def from_text(cls, text: str) -> Snapshot:
-        """Return the snapshot of JSON text.
+        """Return the snapshot that JSON text holds.
 
         Raises:
-          StorageCorruptError: it is no snapshot.
+          StorageCorruptError: the text is not a valid snapshot.
         """
         try:
             document = json.loads(text)
@@ -89,7 +89,7 @@
 
 
 def _object_parts(items: dict[str, Any]) -> Iterator[str]:
-    """Yield the text of a JSON object, some of its items at a time."""
+    """Yield the text of a JSON object, ITEMS_PER_PART items at a time."""
     rest = iter(items.items())
     separator = "{"
     while part := dict(itertools.islice(rest, ITEMS_PER_PART)):
--- a/endivesill/control/snapshotter.py
+++ b/endivesill/control/snapshotter.py
@@ -1,4 +1,4 @@
-"""Writes snapshots and lets the log go of what they hold."""
+"""Periodic snapshots and log compaction."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 __all__ = ["Snapshotter"]
 
-RETRY_S = 5.0
+RETRY_DELAY_S = 5.0
 
 
 class Snapshotter:
-    """The part of a replica that bounds the log.
+    """Writes snapshots and compacts the log of a replica.
 
     Args:
       core: the replica's shared state.
@@ -23,34 +23,41 @@
         self._core = core
 
     async def run(self) -> None:
-        """Write a snapshot each time that enough entries were applied."""
+        """Write a snapshot after every `snapshot_entries` applied entries."""
         core = self._core
         while True:
             await core.changed.wait()
-            head = core.storage.head
-            if head is None:
+            header = core.storage.snapshot_header
+            if header is None:
                 continue
-            entries = core.machine.applied_index - head.index
+            entries = core.machine.applied_index - header.index
             if entries < core.settings.snapshot_entries:
                 continue
             try:
                 await self.write()
             except errors.StorageError as error:
                 events.emit(DISK_FAILED, error=str(error))
-                await core.timer.sleep(RETRY_S)
+                await core.timer.sleep(RETRY_DELAY_S)
 
     async def write(self) -> None:
-        """Write a snapshot of the present state and cut the log."""
+        """Write a snapshot of the current state and compact the log.
+
+        Raises:
+          StorageError: the snapshot was not written or the log not compacted.
+        """
         core = self._core
         voter_set = core.applied_voter_set()
         snapshot = core.machine.to_snapshot(core.cluster, voter_set)
-        text = await self._text_of(snapshot)
-        await core.storage.save_snapshot(text, snapshot.head())
+        text = await self._encode(snapshot)
+        await core.storage.save_snapshot(text, snapshot.header())
         await core.log.compact_to(snapshot.index - core.settings.trailing_entries)
         events.emit(SNAPSHOT_WRITTEN, index=snapshot.index, size_bytes=len(text))
 
-    async def _text_of(self, snapshot: Snapshot) -> str:
-        """Return the text; others run between its parts, but no command does."""
+    async def _encode(self, snapshot: Snapshot) -> str:
+        """Return the snapshot's text, yielding to other tasks between its parts.
+
+        No entry is applied meanwhile, so that the state does not change.
+        """
         core = self._core
         parts = []
         core.pause_applying()
--- a/endivesill/control/storage.py
+++ b/endivesill/control/storage.py
@@ -1,4 +1,4 @@
-"""All that a replica keeps on its disk: identity, term, vote, snapshot, log."""
+"""Durable state of a replica: identity, term, vote, snapshot and log."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 @attrs.frozen
 class Metadata:
-    """What must be on disk before it is told to others.
+    """State that must be durable before it is sent to other replicas.
 
     Attributes:
-      identity: names this disk's replica; a lost disk takes it along.
-      term: the highest term that was seen.
-      voted_for: who has this replica's vote in the term.
+      identity: the replica ID; lost with the disk, so that an empty disk is
+        another replica.
+      term: the highest term seen.
+      voted_for: the candidate that received this replica's vote in the term.
     """
 
     identity: str
@@ -40,13 +41,13 @@
     """The files of a replica.
 
     Args:
-      disk: where they are.
-      segment_bytes: size at which a new log file is begun.
+      disk: the storage of the files.
+      segment_bytes: size at which a new log segment is started.
 
     Attributes:
       log: the replicated log.
-      metadata: what is on disk of identity, term and vote.
-      head: the last snapshot without its state, or None before there is one.
+      metadata: identity, term and vote as they are on disk.
+      snapshot_header: the latest snapshot without its state, or None.
     """
 
     def __init__(self, disk: Disk, segment_bytes: int) -> None:
@@ -54,13 +55,13 @@
         self.log = Log(disk, segment_bytes)
         self._snapshot_lock = asyncio.Lock()
         self.metadata = Metadata("")
-        self.head: Snapshot | None = None
+        self.snapshot_header: Snapshot | None = None
 
     async def load(self) -> Snapshot | None:
-        """Read the files; an empty disk gets a new identity.
+        """Read all files; an empty disk gets a new identity.
 
         Returns:
-          The whole snapshot, if there is one.
+          The latest snapshot with its state, or None.
 
         Raises:
           StorageCorruptError: a file is damaged or missing.
@@ -78,7 +79,7 @@
         snapshot = None
         if SNAPSHOT_NAME in names:
             snapshot = Snapshot.from_text(self.snapshot_text())
-            self.head = snapshot.head()
+            self.snapshot_header = snapshot.header()
         elif len(names) > 1:
             raise errors.StorageCorruptError(f"{SNAPSHOT_NAME}: the file is missing")
         index, term = (snapshot.index, snapshot.term) if snapshot else (0, 0)
@@ -93,25 +94,44 @@
             raise errors.StorageCorruptError(f"{METADATA_NAME}: {error!r}") from None
 
     async def save(self, metadata: Metadata) -> None:
-        """Replace identity, term and vote."""
+        """Write identity, term and vote durably.
+
+        Raises:
+          StorageError: the previous values may still be on disk.
+        """
         data = json.dumps(attrs.asdict(metadata)).encode()
         await self._disk.replace(METADATA_NAME, encode_file(data))
         self.metadata = metadata
 
-    async def save_snapshot(self, text: str, head: Snapshot) -> None:
-        """Write a snapshot's text, unless there is a newer one."""
+    async def save_snapshot(self, text: str, header: Snapshot) -> None:
+        """Write a snapshot durably, unless one as recent exists.
+
+        Args:
+          text: the snapshot as JSON text.
+          header: the same snapshot without its state.
+
+        Raises:
+          StorageError: the previous snapshot may still be on disk.
+        """
         async with self._snapshot_lock:
-            if self.head is not None and self.head.index >= head.index:
+            if (
+                self.snapshot_header is not None
+                and self.snapshot_header.index >= header.index
+            ):
                 return
             data = encode_file(text.encode("ascii"))
             await self._disk.replace(SNAPSHOT_NAME, data)
-            self.head = head
+            self.snapshot_header = header
 
     def snapshot_text(self) -> str:
-        """Return the text of the last snapshot, from disk."""
+        """Read the text of the latest snapshot from disk.
+
+        Raises:
+          StorageCorruptError: the file is damaged.
+        """
         data = decode_file(SNAPSHOT_NAME, self._disk.read(SNAPSHOT_NAME))
         return data.decode("ascii")
 
     def close(self) -> None:
-        """Release the disk."""
+        """Close the disk; nothing may be read or written afterwards."""
         self._disk.close()
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -6,7 +6,7 @@
 from endivesill.control import NEWEST_PATH
 from endivesill.control.entries import EntryKind, LogEntry, Proposal
 from endivesill.control.machine import StateMachine
-from endivesill.control.sessions import SESSION_LIFE_S, Sessions
+from endivesill.control.sessions import SESSION_LIFETIME_S, Sessions
 from endivesill.control.snapshots import Snapshot
 from endivesill.control.voter_set import VoterSet
 from tests.control_cluster import ClusterTestCase
@@ -137,10 +137,10 @@
     def test_sessions_end_when_unused_and_survive_a_snapshot(self):
         sessions = Sessions()
         self.record(sessions, "old", 1, time_s=1.0)
-        self.record(sessions, "new", 1, time_s=SESSION_LIFE_S)
+        self.record(sessions, "new", 1, time_s=SESSION_LIFETIME_S)
         copy = Sessions.from_document(sessions.to_document())
         self.assertEqual({"result": 1}, copy.result("old", 1))
-        self.record(copy, "new", 2, time_s=SESSION_LIFE_S + 2.0)
+        self.record(copy, "new", 2, time_s=SESSION_LIFETIME_S + 2.0)
         self.assertIsNone(copy.result("old", 1))
         self.assertEqual({"result": 1}, copy.result("new", 1))
 
@@ -221,4 +221,4 @@
         text = machine.to_snapshot("c", VoterSet()).to_text()
         restored = StateMachine()
         restored.load(Snapshot.from_text(text))
-        self.assertEqual({"test.put": 1}, restored.newest)
+        self.assertEqual({"test.put": 1}, restored.newest_index_by_command)
--- a/tests/test_control_disk.py
+++ b/tests/test_control_disk.py
@@ -84,7 +84,7 @@
     async def test_replacing_a_file_has_four_write_boundaries(self):
         for boundary in range(1, 5):
             disk = MemoryDisk({"metadata": b"old"})
-            disk.stop_at = boundary
+            disk.stop_at_boundary = boundary
             with self.assertRaises(errors.StorageError):
                 await disk.replace("metadata", b"new")
             for seed in (None, 0, 1, 2, 3):
--- a/tests/test_control_recovery.py
+++ b/tests/test_control_recovery.py
@@ -140,7 +140,9 @@
         await cluster.restart(address)
         await cluster.timer.advance(5.0)
         self.assert_equal_states(cluster)
-        self.assertGreater(cluster.replicas[address].core.storage.head.index, 10)
+        self.assertGreater(
+            cluster.replicas[address].core.storage.snapshot_header.index, 10
+        )
 
 
 class CrashTest(ClusterTestCase):
@@ -148,16 +150,16 @@
         for boundary in range(1, 13):
             for seed in (None, boundary):
                 with self.subTest(boundary=boundary, seed=seed):
-                    await self.stop_at(boundary, seed)
+                    await self.check_stop(boundary, seed)
 
-    async def stop_at(self, boundary, seed):
+    async def check_stop(self, boundary, seed):
         settings = attrs.evolve(SETTINGS, snapshot_entries=3, trailing_entries=1)
         cluster = await self.start(settings=settings)
         client = cluster.client()
         leader = await cluster.leader()
         address = cluster.address_of(leader)
         disk = cluster.disks[address]
-        disk.stop_at = disk.boundaries + boundary
+        disk.stop_at_boundary = disk.boundaries + boundary
         for number in range(4):
             await cluster.put(client, f"k{number}", number)
         await cluster.crash(address, seed)
@@ -205,7 +207,7 @@
         for number in range(40):
             await cluster.put(client, f"k{number}", number)
         await cluster.timer.advance(1.0)
-        cluster.disks[cluster.address_of(leader)].damage("snapshot", 30)
+        cluster.disks[cluster.address_of(leader)].corrupt("snapshot", 30)
         await cluster.boot(lost)
         await cluster.timer.advance(20.0)
         self.assertFalse(leader.is_leader)
--- a/tests/test_control_storage.py
+++ b/tests/test_control_storage.py
@@ -75,7 +75,7 @@
 
     async def snapshot(self, index, term):
         snapshot = Snapshot(index, term, 0.0, "c", VOTERS)
-        await self.storage.save_snapshot(snapshot.to_text(), snapshot.head())
+        await self.storage.save_snapshot(snapshot.to_text(), snapshot.header())
         self.must = {i: t for i, t in self.must.items() if i > index}
         self.must[index] = term
         if self.storage.log.term_at(index) != term:
@@ -96,7 +96,7 @@
             if storage.metadata.term == writer.metadata.term:
                 self.assertEqual(writer.metadata, storage.metadata)
         log = storage.log
-        base = storage.head.index if storage.head else 0
+        base = storage.snapshot_header.index if storage.snapshot_header else 0
         for index, term in writer.must.items():
             if index > base:
                 self.assertEqual(term, log.term_at(index), f"entry {index}")
@@ -111,7 +111,7 @@
             for seed in SURVIVAL_SEEDS:
                 with self.subTest(boundary=boundary, seed=seed):
                     disk = MemoryDisk()
-                    disk.stop_at = boundary
+                    disk.stop_at_boundary = boundary
                     writer = Writer(disk)
                     with self.assertRaises(errors.StorageError):
                         await writer.run()
@@ -121,13 +121,13 @@
         boundaries = await self.count_boundaries()
         for boundary in range(1, boundaries + 1):
             disk = MemoryDisk()
-            disk.stop_at = boundary
+            disk.stop_at_boundary = boundary
             writer = Writer(disk)
             with self.assertRaises(errors.StorageError):
                 await writer.run()
             for second in range(1, 4):
                 again = disk.crash(boundary)
-                again.stop_at = second
+                again.stop_at_boundary = second
                 try:
                     await ReplicaStorage(again, SEGMENT_BYTES).load()
                 except errors.StorageCorruptError:
@@ -192,14 +192,14 @@
     async def test_a_damaged_middle_is_refused(self):
         disk = await self.written()
         name = next(name for name in disk.names() if name.startswith("log-"))
-        disk.damage(name, 20)
+        disk.corrupt(name, 20)
         with self.assertRaisesRegex(errors.StorageCorruptError, f"{name}: .*offset 0"):
             await ReplicaStorage(disk, SEGMENT_BYTES).load()
 
     async def test_damaged_metadata_and_snapshots_are_refused(self):
         for name in ("metadata", "snapshot"):
             disk = await self.written()
-            disk.damage(name, 30)
+            disk.corrupt(name, 30)
             with self.assertRaisesRegex(errors.StorageCorruptError, name):
                 await ReplicaStorage(disk, SEGMENT_BYTES).load()
 
--- a/tests/test_control_voters.py
+++ b/tests/test_control_voters.py
@@ -41,7 +41,7 @@
             for other in cluster.addresses[1:]:
                 await cluster.boot(other, MemoryDisk())
             disk = MemoryDisk()
-            disk.stop_at = boundary
+            disk.stop_at_boundary = boundary
             with contextlib.suppress(errors.StorageError):
                 await cluster.boot(address, disk)
             await cluster.timer.advance(5.0)
