--- a/endivesill/control/__init__.py
+++ b/endivesill/control/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state of the control VMs."""
+"""The replicated state of the control VMs: a state machine over a Raft log."""
 
 from endivesill.control.client import ControlClient, LocalControl
 from endivesill.control.commands import CommandContext, State, command, query
--- a/endivesill/control/batching.py
+++ b/endivesill/control/batching.py
@@ -1,4 +1,4 @@
-"""Proposals of one process that arrive together share a call to the leader."""
+"""Batching of concurrent proposals into calls to the leader."""
 
 from __future__ import annotations
 
@@ -14,58 +14,59 @@
 
 __all__ = ["ProposalBatcher"]
 
-CALLS = 2
-BATCH_PROPOSALS = 64
-CALL_SHARE = 0.95
+MAX_CONCURRENT_CALLS = 2
+MAX_BATCH_PROPOSALS = 64
+CALL_TIMEOUT_RATIO = 0.95
 
 SendBatch = Callable[[list[Message], float], Awaitable[list[Message]]]
 
 
 @attrs.define(eq=False)
-class _Item:
-    """A proposal on its way.
+class _PendingProposal:
+    """A proposal without an outcome yet.
 
     Attributes:
       proposal: the proposal as a JSON object.
-      end_s: when its caller gives up.
-      future: its outcome.
-      sent: whether a call has taken it along.
+      deadline_s: time at which its caller stops waiting.
+      future: receives the outcome.
+      sent: whether it is part of a call that was started.
     """
 
     proposal: Message
-    end_s: float
+    deadline_s: float
     future: asyncio.Future[Message]
     sent: bool = False
 
 
 class ProposalBatcher:
-    """Sends proposals, in at most two calls at a time.
+    """Batches proposals, with at most MAX_CONCURRENT_CALLS calls in flight.
 
-    A proposal goes out at once if fewer calls are under way; else it waits for
-    the next one to end and shares the call after it.
+    A proposal is sent at once if fewer calls are in flight. Otherwise it is queued
+    and sent with the next batch when a call ends.
 
     Args:
       timer: the timer service.
-      send: commits a list of proposals within a time and returns the outcomes.
+      send: commits a list of proposals within a timeout and returns their outcomes
+        in the same order.
     """
 
     def __init__(self, timer: TimerService, send: SendBatch) -> None:
         self._timer = timer
         self._send = send
-        self._queue: list[_Item] = []
+        self._queue: list[_PendingProposal] = []
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def propose(self, proposal: Message, timeout_s: float) -> Message:
         """Commit a proposal and return its outcome.
 
         Raises:
-          UnavailableError: nothing was changed.
-          OutcomeUnknownError: it may or may not have been committed.
+          UnavailableError: the proposal was not committed.
+          OutcomeUnknownError: the proposal may have been committed.
         """
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        item = _Item(proposal, self._timer.now_s() + timeout_s, future)
-        self._queue.append(item)
-        if len(self._tasks) < CALLS:
+        pending = _PendingProposal(proposal, self._timer.now_s() + timeout_s, future)
+        self._queue.append(pending)
+        if len(self._tasks) < MAX_CONCURRENT_CALLS:
             task = asyncio.ensure_future(self._run())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -73,40 +74,40 @@
             return await self._timer.wait_for(future, timeout_s)
         except errors.DeadlineExceededError:
             text = f"no answer within {timeout_s} s"
-            if item.sent:
+            if pending.sent:
                 raise errors.OutcomeUnknownError(text) from None
             raise errors.UnavailableError(text) from None
         finally:
-            if not item.sent:
-                self._queue.remove(item)
+            if not pending.sent:
+                self._queue.remove(pending)
 
     async def _run(self) -> None:
-        """Send until nothing waits."""
+        """Send batches until the queue is empty."""
         while self._queue:
-            batch = self._queue[:BATCH_PROPOSALS]
-            del self._queue[:BATCH_PROPOSALS]
-            for item in batch:
-                item.sent = True
+            batch = self._queue[:MAX_BATCH_PROPOSALS]
+            del self._queue[:MAX_BATCH_PROPOSALS]
+            for pending in batch:
+                pending.sent = True
             await self._send_batch(batch)
 
-    async def _send_batch(self, batch: list[_Item]) -> None:
-        # The callers' own waits end after the call, which knows more.
-        left_s = max(item.end_s for item in batch) - self._timer.now_s()
-        timeout_s = CALL_SHARE * left_s
-        proposals = [item.proposal for item in batch]
+    async def _send_batch(self, batch: list[_PendingProposal]) -> None:
+        # The call times out before its callers do, as its error is more specific.
+        remaining_s = max(pending.deadline_s for pending in batch) - self._timer.now_s()
+        timeout_s = CALL_TIMEOUT_RATIO * remaining_s
+        proposals = [pending.proposal for pending in batch]
         try:
             outcomes = await self._send(proposals, timeout_s)
         except Exception as error:
-            for item in batch:
-                if not item.future.done():
-                    # Each caller gets an error with a traceback of its own.
-                    item.future.set_exception(type(error)(*error.args))
+            for pending in batch:
+                if not pending.future.done():
+                    # A new error for each caller, with its own traceback.
+                    pending.future.set_exception(type(error)(*error.args))
             return
-        for item, outcome in zip(batch, outcomes, strict=True):
-            if not item.future.done():
-                item.future.set_result(outcome)
+        for pending, outcome in zip(batch, outcomes, strict=True):
+            if not pending.future.done():
+                pending.future.set_result(outcome)
 
     def close(self) -> None:
-        """Stop sending."""
+        """Cancel the calls in flight."""
         for task in self._tasks:
             task.cancel()
--- a/endivesill/control/bootstrap.py
+++ b/endivesill/control/bootstrap.py
@@ -1,9 +1,9 @@
-"""The first start of a cluster, and the way of an empty disk into an old one.
+"""Creation of a cluster, and joining of an existing one with an empty disk.
 
-The first voters are all replicas of the settings' list, each with the identity
-that it has on its empty disk. A replica writes them only after it has heard
-from all the others that they have the same list and no state. If one has a
-state, the cluster exists: an empty replica then asks to be a learner.
+The initial voters are all replicas in the configured address list, each with the
+identity on its empty disk. A replica writes them only after all others responded
+that they have the same list and no state. If any of them has a state, the cluster
+exists already, and the empty replica asks to join as a learner.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 HELLO_PATH = "/control/hello"
 JOIN_PATH = "/control/join"
 
-FIRST_INDEX = 1
-FIRST_TERM = 1
+INITIAL_INDEX = 1
+INITIAL_TERM = 1
 CALL_TIMEOUT_S = 1.0
-RETRY_S = 0.5
-JOIN_RETRY_S = 0.5
-# Without a word of a leader for this long a replica asks to be a learner.
-REJOIN_S = 2.0
+RETRY_DELAY_S = 0.5
+JOIN_RETRY_DELAY_S = 0.5
+# A replica without contact to a leader for this time asks to join as a learner.
+REJOIN_AFTER_S = 2.0
 
 
 @attrs.frozen
 class Hello:
-    """What a replica says of itself before there is a cluster.
+    """Response to a bootstrap query: a replica's identity and cluster.
 
     Attributes:
-      identity: its identity.
-      cluster: its cluster's id; empty without a state.
-      addresses: the control addresses of its settings.
-      voters: the voters that it knows, by identity.
+      identity: the replica ID.
+      cluster: the cluster ID; empty if the replica has no state.
+      addresses: the configured addresses of the control VMs, sorted.
+      voters: the peer addresses of the voters known to the replica, by identity.
     """
 
     identity: str
@@ -56,13 +56,13 @@
 
 
 class Bootstrap:
-    """The part of a replica that finds or founds its cluster.
+    """Creates or joins a cluster for a replica without a state.
 
     Args:
       core: the replica's shared state.
-      addresses: the control addresses of the settings.
-      may_create_cluster: whether an empty disk may be part of a new cluster; if not, it
-        has lost what was on it and only joins.
+      addresses: the configured peer addresses of the control VMs.
+      may_create_cluster: whether a replica with an empty disk may take part in the
+        creation of a cluster; if not, its disk was lost and it only joins.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         return self._core.transport.address in self._addresses
 
     async def handle_hello(self, message: Message) -> Message:
-        """Answer another replica that looks for its cluster."""
+        """Handle the bootstrap query of another replica."""
         return to_message(self._hello())
 
     def _hello(self) -> Hello:
@@ -90,27 +90,27 @@
         return Hello(core.identity, core.cluster, list(self._addresses), voters)
 
     async def run(self) -> None:
-        """Work until this replica has a state."""
+        """Create or join a cluster; return once this replica has a state."""
         core = self._core
         while not core.cluster:
-            hellos = await self._ask_all()
+            hellos = await self._query_all()
             existing = [hello for hello in hellos.values() if hello.cluster]
             if existing:
                 await self._adopt_or_join(existing)
-                await core.timer.sleep(JOIN_RETRY_S)
-            elif self._is_ready_to_found(hellos):
-                await self._found(hellos)
+                await core.timer.sleep(JOIN_RETRY_DELAY_S)
+            elif self._can_create_cluster(hellos):
+                await self._create_cluster(hellos)
             if not core.cluster:
-                await core.timer.sleep(RETRY_S)
+                await core.timer.sleep(RETRY_DELAY_S)
 
-    def _is_ready_to_found(self, hellos: dict[str, Hello]) -> bool:
+    def _can_create_cluster(self, hellos: dict[str, Hello]) -> bool:
         complete = len(hellos) == len(self._addresses)
         return self._may_create_cluster and self._is_listed and complete
 
-    async def _ask_all(self) -> dict[str, Hello]:
+    async def _query_all(self) -> dict[str, Hello]:
         core = self._core
 
-        async def ask(address: str) -> tuple[str, Hello] | None:
+        async def query(address: str) -> tuple[str, Hello] | None:
             if address == core.transport.address:
                 return address, self._hello()
             try:
@@ -121,24 +121,24 @@
             except errors.PeerUnreachableError:
                 return None
 
-        answers = await asyncio.gather(*(ask(a) for a in self._addresses))
-        return dict(answer for answer in answers if answer is not None)
+        responses = await asyncio.gather(*(query(a) for a in self._addresses))
+        return dict(response for response in responses if response is not None)
 
-    async def _found(self, hellos: dict[str, Hello]) -> None:
-        """Write the first voters; every replica of the list writes the same."""
+    async def _create_cluster(self, hellos: dict[str, Hello]) -> None:
+        """Create the cluster; all listed replicas write the same initial state."""
         lists = {tuple(hello.addresses) for hello in hellos.values()}
         if lists != {self._addresses}:
             events.emit(BOOTSTRAP_CONFLICT, lists=sorted(map(list, lists)))
             return
-        await self._write({h.identity: a for a, h in hellos.items()})
+        await self._write_initial_state({h.identity: a for a, h in hellos.items()})
 
-    async def _write(self, voters: dict[str, str]) -> None:
+    async def _write_initial_state(self, voters: dict[str, str]) -> None:
         core = self._core
         voter_set = VoterSet(voters)
         cluster = voter_set.cluster_id()
-        snapshot = Snapshot(FIRST_INDEX, FIRST_TERM, 0.0, cluster, voter_set)
+        snapshot = Snapshot(INITIAL_INDEX, INITIAL_TERM, 0.0, cluster, voter_set)
         await core.storage.save_snapshot(snapshot.to_text(), snapshot.header())
-        await core.log.reset(FIRST_INDEX, FIRST_TERM)
+        await core.log.reset(INITIAL_INDEX, INITIAL_TERM)
         core.install_snapshot(snapshot)
         events.emit(BOOTSTRAPPED, cluster=cluster, voters=voters)
 
@@ -148,47 +148,46 @@
         if len(clusters) > 1:
             events.emit(BOOTSTRAP_CONFLICT, clusters=sorted(clusters))
             return
-        founded = [h.voters for h in existing if core.identity in h.voters]
-        if founded and VoterSet(founded[0]).cluster_id() in clusters:
-            await self._write(founded[0])
+        initial_voters = [h.voters for h in existing if core.identity in h.voters]
+        if initial_voters and VoterSet(initial_voters[0]).cluster_id() in clusters:
+            await self._write_initial_state(initial_voters[0])
             return
         await self._join()
 
     async def rejoin(self) -> None:
-        """Ask to be a learner whenever no leader calls this replica.
+        """Ask to join as a learner whenever the leader is silent.
 
-        A voter that was replaced while it was away is told by nobody; for a
-        voter that is still one, the question changes nothing.
+        A voter that was removed during an outage is not notified of its removal.
+        For a replica that is still a member, the request has no effect.
         """
         core = self._core
         while True:
-            await core.timer.sleep(REJOIN_S)
-            silent_s = core.timer.now_s() - core.leader_contact_s
-            if core.cluster and core.leadership is None and silent_s > REJOIN_S:
+            await core.timer.sleep(REJOIN_AFTER_S)
+            elapsed_s = core.timer.now_s() - core.leader_contact_s
+            if core.cluster and core.leadership is None and elapsed_s > REJOIN_AFTER_S:
                 await self._join()
 
     async def _join(self) -> None:
-        """Ask until the leader takes this replica as a learner.
+        """Ask all configured replicas, and the leader they name, for admission.
 
-        The leader need not be one of the addresses; a replica that does not
-        lead names it.
+        The leader may have an address that is not configured.
         """
         core = self._core
         message = {"identity": core.identity, "address": core.transport.address}
         addresses = [a for a in self._addresses if a != core.transport.address]
-        asked: set[str] = set()
+        queried: set[str] = set()
         while addresses:
             address = addresses.pop(0)
-            asked.add(address)
+            queried.add(address)
             try:
-                answer = await core.transport.call(
+                response = await core.transport.call(
                     address, JOIN_PATH, message, CALL_TIMEOUT_S
                 )
             except errors.PeerUnreachableError:
                 continue
-            if answer.get("joined"):
+            if response.get("joined"):
                 events.emit(LEARNER_JOINED, **message)
                 return
-            leader = answer.get("leader")
-            if leader and leader not in asked:
+            leader = response.get("leader")
+            if leader and leader not in queried:
                 addresses.insert(0, leader)
--- a/endivesill/control/client.py
+++ b/endivesill/control/client.py
@@ -1,7 +1,7 @@
-"""How services reach the replicated state.
+"""Client interface of the replicated state.
 
-`ControlClient` is the base; `LocalControl` is the in-memory sibling for tests:
-one state in this process, each command applied at once.
+`ControlClient` is the base class. `LocalControl`, for tests, keeps the state in this
+process and applies each command at once.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ControlClient(Service):
-    """Base of the clients of the replicated state."""
+    """Base class of clients of the replicated state."""
 
     async def propose(
         self, command: str, message: Message, timeout_s: float
@@ -29,29 +29,31 @@
         """Commit a command and return its result.
 
         Raises:
-          UnavailableError: nothing was changed.
-          OutcomeUnknownError: it may or may not have been committed.
+          UnavailableError: the command was not committed.
+          OutcomeUnknownError: the command may have been committed.
+          EndivesillError: the command raised an error.
         """
         raise NotImplementedError
 
     async def query(self, query: str, message: Message, timeout_s: float) -> Message:
-        """Run a linearizable query.
+        """Run a linearizable query and return its result.
 
         Raises:
-          UnavailableError: no majority answered in time.
+          UnavailableError: no leader confirmed by a majority was reached in time.
+          EndivesillError: the query raised an error.
         """
         raise NotImplementedError
 
 
 class LocalControl(ControlClient):
-    """The replicated state of a test, in one process.
+    """Unreplicated state in this process, for tests.
 
     Args:
       timer: the timer service.
 
     Attributes:
-      state: the state, for a test to look at.
-      failure: an error to raise in place of the next calls, or None.
+      state: the current state, which tests may inspect.
+      failure: an error that all calls raise while it is set, or None.
     """
 
     def __init__(self, timer: TimerService) -> None:
--- a/endivesill/control/leadership.py
+++ b/endivesill/control/leadership.py
@@ -70,8 +70,8 @@
         """Append a proposal and return its outcome; see StateMachine.apply.
 
         Raises:
-          UnavailableError: the proposal was not appended.
-          OutcomeUnknownError: it was appended and may still be committed.
+          UnavailableError: the proposal was not committed and will not be.
+          OutcomeUnknownError: the proposal may still be committed.
         """
         core = self._core
         if self.transferring:
@@ -88,7 +88,7 @@
 
         Raises:
           UnavailableError: an earlier change is not committed yet.
-          OutcomeUnknownError: the entry was appended and may still be committed.
+          OutcomeUnknownError: the change may still be committed.
         """
         core = self._core
         await self._wait_for_term_commit(timeout_s)
--- a/endivesill/control/remote.py
+++ b/endivesill/control/remote.py
@@ -1,4 +1,4 @@
-"""The client of the replicated state for processes that are no replica."""
+"""Client of the replicated state that calls the leader over the network."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 QUERY_PATH = "/control/query"
 
 ATTEMPT_TIMEOUT_S = 2.0
-# Share of the whole time that one attempt may take, so that a silent leader
-# leaves time for its successor.
-ATTEMPT_SHARE = 0.4
-BACKOFF_S = 0.05
-BACKOFF_LIMIT_S = 0.2
-LONGEST_PROPOSAL_S = 600.0
-REDIRECTS = 3
+# Fraction of the total timeout for one attempt, so that an unresponsive leader leaves
+# time to call its successor.
+ATTEMPT_TIMEOUT_RATIO = 0.4
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.2
+MAX_PROPOSAL_TIMEOUT_S = 600.0
+MAX_REDIRECTS = 3
 
 
 class RemoteControlClient(ControlClient):
-    """Calls any replica and follows redirects to the leader.
+    """Calls replicas in turn and follows redirects to the leader.
 
-    A proposal keeps its number over all attempts, so that it is run once and a
-    resend gets the first answer.
+    A proposal keeps its sequence number over all attempts, so that it is run once
+    and a resend returns the stored result.
 
     Args:
       timer: the timer service.
-      transport: how peers are called.
+      transport: used to call replicas.
       addresses: peer addresses of the control VMs.
-      hint: returns the address of the leader, if this process knows it.
+      leader_hint: returns the leader's peer address if this process knows it.
     """
 
     def __init__(
@@ -47,41 +47,41 @@
         timer: TimerService,
         transport: PeerTransport,
         addresses: tuple[str, ...],
-        hint: Callable[[], str | None] = lambda: None,
+        leader_hint: Callable[[], str | None] = lambda: None,
     ) -> None:
         self._timer = timer
         self._transport = transport
         self._addresses = list(addresses)
-        self._hint = hint
+        self._leader_hint = leader_hint
         self._leader: str | None = None
-        self._position = 0
-        self._client = uuid.uuid4().hex
+        self._address_index = 0
+        self._client_id = uuid.uuid4().hex
         self._sequence = itertools.count(1)
-        self._unanswered: set[int] = set()
+        self._pending_sequences: set[int] = set()
         self._batcher = ProposalBatcher(timer, self._send_proposals)
 
     async def stop(self) -> None:
-        """End the calls that are under way."""
+        """Cancel the proposals in flight."""
         self._batcher.close()
 
     async def propose(
         self, command: str, message: Message, timeout_s: float
     ) -> Message:
         """Commit a command; see the base class."""
-        timeout_s = min(timeout_s, LONGEST_PROPOSAL_S)
+        timeout_s = min(timeout_s, MAX_PROPOSAL_TIMEOUT_S)
         sequence = next(self._sequence)
-        self._unanswered.add(sequence)
+        self._pending_sequences.add(sequence)
         request = {
             "command": command,
             "message": message,
-            "client": self._client,
+            "client": self._client_id,
             "sequence": sequence,
-            "answered": min(self._unanswered),
+            "answered": min(self._pending_sequences),
         }
         try:
             outcome = await self._batcher.propose(request, timeout_s)
         finally:
-            self._unanswered.discard(sequence)
+            self._pending_sequences.discard(sequence)
         raise_command_failure(outcome)
         return outcome["result"]
 
@@ -89,17 +89,17 @@
         self, proposals: list[Message], timeout_s: float
     ) -> list[Message]:
         message = {"proposals": proposals}
-        answer = await self.call_leader(PROPOSE_PATH, message, timeout_s)
-        return answer["outcomes"]
+        response = await self.call_leader(PROPOSE_PATH, message, timeout_s)
+        return response["outcomes"]
 
     async def query(self, query: str, message: Message, timeout_s: float) -> Message:
         """Run a linearizable query; see the base class."""
         request = {"query": query, "message": message}
         try:
-            answer = await self.call_leader(QUERY_PATH, request, timeout_s)
+            response = await self.call_leader(QUERY_PATH, request, timeout_s)
         except errors.OutcomeUnknownError as error:
             raise errors.UnavailableError(str(error)) from None
-        return answer["result"]
+        return response["result"]
 
     async def call_leader(
         self,
@@ -108,64 +108,66 @@
         timeout_s: float,
         attempt_timeout_s: float | None = None,
     ) -> Message:
-        """Call the leader, wherever it is, until it answers.
+        """Find and call the leader, with retries and backoff.
 
         Args:
           path: the peer path.
           message: the message; each attempt adds its own `timeout_s`.
-          timeout_s: the bound of all attempts together.
-          attempt_timeout_s: the bound of one attempt; None for a part of the
-            whole time.
+          timeout_s: timeout of all attempts together.
+          attempt_timeout_s: timeout of one attempt; None for a fraction of
+            `timeout_s`.
 
         Raises:
-          UnavailableError: no attempt has changed anything.
-          OutcomeUnknownError: an attempt may have.
+          UnavailableError: no attempt had an effect.
+          OutcomeUnknownError: an attempt may have had an effect.
         """
-        end_s = self._timer.now_s() + timeout_s
+        deadline_s = self._timer.now_s() + timeout_s
         if attempt_timeout_s is None:
-            attempt_timeout_s = min(ATTEMPT_TIMEOUT_S, ATTEMPT_SHARE * timeout_s)
-        backoff_s = BACKOFF_S
-        unknown = False
+            attempt_timeout_s = min(
+                ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_RATIO * timeout_s
+            )
+        backoff_s = INITIAL_BACKOFF_S
+        may_have_run = False
         redirects = 0
         address: str | None = None
         while True:
-            left_s = end_s - self._timer.now_s()
-            if left_s <= 0:
+            remaining_s = deadline_s - self._timer.now_s()
+            if remaining_s <= 0:
                 break
             address = self._next_address(address)
             redirected = False
             try:
                 return await self._attempt(
-                    address, path, message, min(left_s, attempt_timeout_s)
+                    address, path, message, min(remaining_s, attempt_timeout_s)
                 )
             except errors.PeerUnreachableError as error:
-                unknown = unknown or error.sent
+                may_have_run = may_have_run or error.sent
                 self._leader = None
             except errors.OutcomeUnknownError:
-                unknown = True
+                may_have_run = True
             except errors.NotLeaderError as error:
                 redirected = error.leader_address not in (None, address)
-                self._note_leader(error.leader_address if redirected else None)
+                self._remember_leader(error.leader_address if redirected else None)
             except errors.UnavailableError:
                 self._leader = None
             redirects = redirects + 1 if redirected else 0
-            if redirects in (0, REDIRECTS):
+            if redirects in (0, MAX_REDIRECTS):
                 redirects = 0
-                await self._timer.sleep(min(backoff_s, left_s))
-                backoff_s = min(2 * backoff_s, BACKOFF_LIMIT_S)
-        if unknown:
+                await self._timer.sleep(min(backoff_s, remaining_s))
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+        if may_have_run:
             raise errors.OutcomeUnknownError(f"no answer within {timeout_s} s")
         raise errors.UnavailableError(f"no leader within {timeout_s} s")
 
     def _next_address(self, last_address: str | None) -> str:
-        # A replica hears of a new leader before its own calls fail.
-        known = self._hint() or self._leader
+        # A replica learns of a new leader before its calls to the old one fail.
+        known = self._leader_hint() or self._leader
         if known is not None and known != last_address:
             return known
-        self._position = (self._position + 1) % len(self._addresses)
-        return self._addresses[self._position]
+        self._address_index = (self._address_index + 1) % len(self._addresses)
+        return self._addresses[self._address_index]
 
-    def _note_leader(self, address: str | None) -> None:
+    def _remember_leader(self, address: str | None) -> None:
         self._leader = address
         if address is not None and address not in self._addresses:
             self._addresses.append(address)
@@ -175,12 +177,12 @@
     ) -> Message:
         request = {**message, "timeout_s": timeout_s}
         if address == self._transport.address:
-            answer = await self._transport.handlers[path](request)
+            response = await self._transport.handlers[path](request)
             if path == QUERY_PATH:
-                # The caller must not get hold of the state itself.
-                answer = json.loads(json.dumps(answer))
+                # Copied, so that the caller cannot modify the state.
+                response = json.loads(json.dumps(response))
         else:
-            answer = await self._transport.call(address, path, request, timeout_s)
-        raise_error(answer)
+            response = await self._transport.call(address, path, request, timeout_s)
+        raise_error(response)
         self._leader = address
-        return answer
+        return response
--- a/endivesill/control/repair.py
+++ b/endivesill/control/repair.py
@@ -1,7 +1,7 @@
-"""Keeps the number of voters without an operator.
+"""Automatic repair of the voter set.
 
-The leader makes learners voters until there are as many as wanted, and puts a
-learner that has caught up in the place of a voter that is lost.
+The leader promotes learners until the desired number of voters is reached, and
+replaces lost voters by learners that have caught up.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from endivesill.control.events import VOTER_REPAIR
 from endivesill.control.voter_manager import ReplicaStatus, VoterManager
 
-__all__ = ["Repair"]
+__all__ = ["VoterRepair"]
 
-PERIOD_S = 0.2
-# A voter that has not answered for this long is replaced if there is a learner;
-# restarts and short cuts are over by then.
-LOST_AFTER_S = 3.0
-# A learner that is gone for this long is dropped; it asks again if it returns.
+REPAIR_PERIOD_S = 0.2
+# A voter without contact for this time is replaced if a learner is ready; restarts
+# and short partitions are over by then.
+VOTER_LOST_AFTER_S = 3.0
+# A learner without contact for this time is removed; it rejoins when it returns.
 LEARNER_LOST_AFTER_S = 10.0
 
 
-class Repair:
-    """The part of a leader that replaces lost voters.
+class VoterRepair:
+    """Repairs the voter set while this replica leads.
 
     Args:
       core: the replica's shared state.
-      manager: makes the changes.
-      desired_voters: how many voters there shall be.
+      manager: carries out the membership changes.
+      desired_voters: the number of voters to reach and keep.
     """
 
     def __init__(
@@ -35,26 +35,26 @@
     ) -> None:
         self._core = core
         self._manager = manager
-        self._wanted = desired_voters
+        self._desired_voters = desired_voters
 
     async def run(self) -> None:
-        """Look for what to repair, one change at a time."""
+        """Check the voter set periodically; make one change at a time."""
         while True:
-            await self._core.timer.sleep(PERIOD_S)
+            await self._core.timer.sleep(REPAIR_PERIOD_S)
             if self._core.leadership is None:
                 continue
             try:
-                await self._step()
+                await self._repair_once()
             except errors.EndivesillError as error:
                 events.emit(VOTER_REPAIR, step="failed", reason=str(error))
 
-    async def _step(self) -> None:
-        """Make the one change that is most urgent, if any."""
+    async def _repair_once(self) -> None:
+        """Make the most urgent change, if any."""
         status = self._manager.status()
         voters = [r for r in status.replicas if r.voter]
         learners = [r for r in status.replicas if not r.voter]
         ready = [r for r in learners if r.ready]
-        if ready and len(voters) < self._wanted:
+        if ready and len(voters) < self._desired_voters:
             await self._promote(ready[0])
             return
         lost = [r for r in voters if self._is_lost(r, learners)]
@@ -62,7 +62,7 @@
             await self._drop(lost[0])
             return
         for replica in learners:
-            if self._silent_s(replica) > LEARNER_LOST_AFTER_S:
+            if self._time_since_contact_s(replica) > LEARNER_LOST_AFTER_S:
                 await self._drop(replica)
                 return
 
@@ -72,19 +72,20 @@
 
     async def _drop(self, replica: ReplicaStatus) -> None:
         events.emit(VOTER_REPAIR, step="drop", replica=replica.identity)
-        await self._manager.drop(replica.identity)
+        await self._manager.remove_lost(replica.identity)
 
     def _is_lost(self, voter: ReplicaStatus, learners: list[ReplicaStatus]) -> bool:
         if voter.live:
             return False
-        # Another disk at its address shows that its own is gone.
+        # A ready replica with another identity at its address proves that the
+        # voter's disk is lost.
         replaced = any(r.address == voter.address and r.ready for r in learners)
-        return replaced or self._silent_s(voter) > LOST_AFTER_S
+        return replaced or self._time_since_contact_s(voter) > VOTER_LOST_AFTER_S
 
-    def _silent_s(self, replica: ReplicaStatus) -> float:
+    def _time_since_contact_s(self, replica: ReplicaStatus) -> float:
         leadership = self._core.leadership
         progress = leadership.progress.get(replica.identity) if leadership else None
         if progress is None:
             return 0.0
-        heard_s = max(progress.last_contact_s, progress.started_s)
-        return self._core.timer.now_s() - heard_s
+        contact_s = max(progress.last_contact_s, progress.started_s)
+        return self._core.timer.now_s() - contact_s
--- a/endivesill/control/replica.py
+++ b/endivesill/control/replica.py
@@ -1,4 +1,4 @@
-"""A control VM's replica of the state, which is also a client of it."""
+"""The replica of a control VM, which is also a client of the replicated state."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     QUERY_PATH,
     RemoteControlClient,
 )
-from endivesill.control.repair import Repair
+from endivesill.control.repair import VoterRepair
 from endivesill.control.settings import ControlSettings
 from endivesill.control.snapshotter import Snapshotter
 from endivesill.control.storage import ReplicaStorage
@@ -56,24 +56,25 @@
 
 
 class ControlReplica(ControlClient):
-    """One replica of the state.
+    """One replica of the replicated state.
 
     Args:
       timer: the timer service.
-      transport: the peer port; its paths are taken at `start`.
-      disk: the replica's disk.
-      addresses: peer addresses of all control VMs, this one included.
+      transport: the peer transport; `start` registers the handlers of its paths.
+      disk: the storage of the replica's files.
+      addresses: peer addresses of all control VMs, including this one.
       settings: the `[control]` settings.
-      seed: seed of the election timeouts; None for a random one.
-      may_create_cluster: whether an empty disk may be part of a new cluster.
-      desired_voters: how many voters the leader makes and keeps by itself; 0
-        leaves the voters to operators.
+      seed: seed of the random election timeouts; None for a random seed.
+      may_create_cluster: whether a replica with an empty disk may take part in the
+        creation of a cluster.
+      desired_voters: number of voters that the leader maintains automatically; 0
+        leaves membership changes to operators.
 
     Raises:
-      EndivesillError: the settings do not fit together.
+      EndivesillError: the election timeout is too short for the heartbeat period.
 
     Attributes:
-      voters: status and changes of the voters.
+      voters: status and membership changes of the cluster.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
         settings = settings or ControlSettings()
         if settings.election_timeout_s < 2 * settings.heartbeat_s:
             raise errors.EndivesillError(
-                "[control] election_timeout_s must be twice heartbeat_s at least"
+                "[control] election_timeout_s must be at least twice heartbeat_s"
             )
         self._timer = timer
         self._transport = transport
@@ -103,9 +104,9 @@
         self._bootstrap = Bootstrap(
             self._core, addresses, may_create_cluster=may_create_cluster
         )
-        self._manager = VoterManager(self._core)
+        self._voter_manager = VoterManager(self._core)
         self._repair = (
-            Repair(self._core, self._manager, desired_voters)
+            VoterRepair(self._core, self._voter_manager, desired_voters)
             if desired_voters
             else None
         )
@@ -119,14 +120,14 @@
     # Life cycle.
 
     async def start(self) -> None:
-        """Read the disk and take part in the cluster.
+        """Load the files, register the peer paths and start the replica's tasks.
 
         Raises:
-          StorageCorruptError: a file is damaged.
+          StorageCorruptError: a file is damaged or missing.
         """
         core = self._core
         await core.load()
-        core.log.add_sync_listener(self._note_synced)
+        core.log.add_sync_listener(self._handle_sync)
         self._handle_paths()
         for name, run in (
             ("control-log", core.log.run),
@@ -153,12 +154,12 @@
         ]
 
     async def stop(self) -> None:
-        """Hand leadership over, if this replica leads, and stop."""
+        """Transfer leadership, if this replica leads, and stop."""
         await self.transfer_leadership()
         await self.halt()
 
     async def halt(self) -> None:
-        """Stop at once."""
+        """Stop without transferring leadership and close the disk."""
         leadership = self._core.leadership
         if leadership is not None:
             leadership.close()
@@ -168,20 +169,20 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._storage.close()
 
-    def _note_synced(self) -> None:
+    def _handle_sync(self) -> None:
         if self._core.leadership is not None:
             self._core.leadership.handle_sync()
 
-    # What others can ask of this replica.
+    # Status and local reads.
 
     @property
     def identity(self) -> str:
-        """The identity of this replica's disk."""
+        """The replica ID, which is bound to its disk."""
         return self._core.identity
 
     @property
     def state(self) -> State:
-        """The state after the last applied entry; not to be changed."""
+        """The state after the last applied entry; callers must not modify it."""
         return self._core.machine.state
 
     @property
@@ -191,28 +192,31 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Whether this replica is the leader of its term.
+
+        A newer leader may exist already.
+        """
         return self._core.role is Role.LEADER
 
     @property
     def core(self) -> ReplicaCore:
-        """The replica's shared state; not to be changed."""
+        """The replica's shared state; callers must not modify it."""
         return self._core
 
     def subscribe_applied(self, listener: Callable[[Applied], None]) -> None:
-        """Call a listener after each applied entry, in the order of the log.
+        """Call a listener after each applied entry, in log order.
 
-        After a snapshot from the leader it is called once, with the kind
-        SNAPSHOT: the state as a whole was replaced.
+        The installation of a snapshot is reported by a single call with the kind
+        SNAPSHOT.
         """
         self._core.machine.subscribe(listener)
 
     def newest_index_of(self, command: str) -> int:
-        """Return the highest index on this disk of an entry with a command.
+        """Return the highest synced index of an entry with the given command.
 
-        The entry may not be committed yet. An entry that is committed anywhere
-        is on the disks of a majority, so the largest answer of any majority of
-        the voters is not under it. 0 means that there is none.
+        The entry may be uncommitted. As a committed entry is on the disks of a
+        majority, the maximum over any majority of the voters is at least the index
+        of the last committed command. 0 means that there is no such entry.
         """
         log = self._core.log
         machine = self._core.machine
@@ -223,14 +227,14 @@
         return machine.newest_index_by_command.get(command, 0)
 
     def add_newest_field(self, name: str, read: Callable[[], Any]) -> None:
-        """Add a field to what this replica answers under /control/newest."""
+        """Add a field to the responses of this replica to /control/newest."""
         self._newest_fields[name] = read
 
     async def transfer_leadership(self, identity: str | None = None) -> bool:
-        """Hand leadership to another voter; return whether that has worked.
+        """Transfer leadership to another voter; return whether it succeeded.
 
         Args:
-          identity: who shall lead; None for the voter that is furthest.
+          identity: the new leader; None for the most caught-up voter.
         """
         leadership = self._core.leadership
         return leadership is not None and await leadership.transfer(identity)
@@ -240,11 +244,11 @@
     async def propose(
         self, command: str, message: Message, timeout_s: float
     ) -> Message:
-        """Commit a command, here or at the leader; see the base class."""
+        """Commit a command through the leader; see the base class."""
         return await self._client.propose(command, message, timeout_s)
 
     async def query(self, query: str, message: Message, timeout_s: float) -> Message:
-        """Run a query, here or at the leader; see the base class."""
+        """Run a query at the leader; see the base class."""
         return await self._client.query(query, message, timeout_s)
 
     # Peer paths.
@@ -252,21 +256,30 @@
     def _handle_paths(self) -> None:
         handle = self._transport.handle
         election, follower = self._election, self._follower
-        handle(VOTE_PATH, self._addressed(VoteRequest, election.handle_vote))
-        handle(LEAD_PATH, self._addressed(LeadRequest, election.handle_lead))
-        handle(APPEND_PATH, self._addressed(AppendRequest, follower.handle_append))
-        handle(CHUNK_PATH, self._addressed(ChunkRequest, follower.handle_chunk))
+        handle(VOTE_PATH, self._with_recipient_check(VoteRequest, election.handle_vote))
+        handle(LEAD_PATH, self._with_recipient_check(LeadRequest, election.handle_lead))
+        handle(
+            APPEND_PATH,
+            self._with_recipient_check(AppendRequest, follower.handle_append),
+        )
+        handle(
+            CHUNK_PATH, self._with_recipient_check(ChunkRequest, follower.handle_chunk)
+        )
         handle(HELLO_PATH, self._bootstrap.handle_hello)
-        handle(JOIN_PATH, _answering_errors(self._manager.handle_join))
-        handle(VOTERS_PATH, _answering_errors(self._manager.handle_voters))
-        handle(PROPOSE_PATH, _answering_errors(self._handle_propose))
-        handle(QUERY_PATH, _answering_errors(self._handle_query))
+        handle(JOIN_PATH, _with_error_responses(self._voter_manager.handle_join))
+        handle(VOTERS_PATH, _with_error_responses(self._voter_manager.handle_voters))
+        handle(PROPOSE_PATH, _with_error_responses(self._handle_propose))
+        handle(QUERY_PATH, _with_error_responses(self._handle_query))
         handle(NEWEST_PATH, self._handle_newest)
 
-    def _addressed(
-        self, kind: type[T], answer: Callable[[T], Awaitable[Any]]
+    def _with_recipient_check(
+        self, kind: type[T], respond: Callable[[T], Awaitable[Any]]
     ) -> Callable[[Message], Awaitable[Message]]:
-        """Wrap a handler of messages that are meant for one identity."""
+        """Wrap a handler of requests that name their recipient.
+
+        Requests for another identity or cluster, and those whose handler fails, are
+        answered with `{"refused": reason}`.
+        """
 
         async def handle(message: Message) -> Message:
             core = self._core
@@ -279,7 +292,7 @@
             if core.cluster and request.cluster != core.cluster:
                 return {"refused": "another cluster"}
             try:
-                return to_message(await answer(request))
+                return to_message(await respond(request))
             except errors.StorageError as error:
                 return {"refused": str(error)}
             except Exception as error:
@@ -289,18 +302,18 @@
 
         return handle
 
-    def _leading(self) -> Leadership:
+    def _require_leadership(self) -> Leadership:
         if self._core.leadership is None:
             raise errors.NotLeaderError(self._core.active_leader_address())
         return self._core.leadership
 
     async def _handle_propose(self, message: Message) -> Message:
-        """Commit several proposals of one client.
+        """Commit a batch of proposals of one client.
 
-        An error is for all of them: the client sends them again, and those that
-        were committed get their first outcomes.
+        An error applies to the whole batch: the client resends it, and proposals
+        that were committed return their stored outcomes.
         """
-        leadership = self._leading()
+        leadership = self._require_leadership()
         proposals = [Proposal(**fields) for fields in message["proposals"]]
         outcomes = await asyncio.gather(
             *(self._propose_one(leadership, p, message["timeout_s"]) for p in proposals)
@@ -315,7 +328,7 @@
     async def _propose_one(
         self, leadership: Leadership, proposal: Proposal, timeout_s: float
     ) -> Message | errors.EndivesillError:
-        """Commit one proposal; return its outcome or why there is none."""
+        """Commit one proposal; return its outcome, or the error if there is none."""
         if proposal.command not in COMMANDS:
             text = f"no command {proposal.command!r}"
             return {"failure": "EndivesillError", "text": text}
@@ -328,7 +341,7 @@
         timeout_s = message["timeout_s"]
         if message["query"] not in QUERIES:
             raise errors.EndivesillError(f"no query {message['query']!r}")
-        index = await self._leading().read_index(timeout_s)
+        index = await self._require_leadership().read_index(timeout_s)
         core = self._core
         try:
             await self._timer.wait_for(core.wait_applied(index), timeout_s)
@@ -338,7 +351,7 @@
 
     async def _handle_newest(self, message: Message) -> Message:
         core = self._core
-        answer = {
+        response = {
             "identity": core.identity,
             "term": self._storage.metadata.term,
             "last_index": core.log.synced_index,
@@ -347,18 +360,18 @@
             "voters": dict(core.voter_set.voters),
         }
         for name, read in self._newest_fields.items():
-            answer[name] = read()
-        return answer
+            response[name] = read()
+        return response
 
 
-def _answering_errors(
-    answer: Callable[[Message], Awaitable[Message]],
+def _with_error_responses(
+    respond: Callable[[Message], Awaitable[Message]],
 ) -> Callable[[Message], Awaitable[Message]]:
-    """Wrap a handler whose errors are for the caller to see."""
+    """Wrap a handler so that its errors are returned as messages."""
 
     async def handle(message: Message) -> Message:
         try:
-            return await answer(message)
+            return await respond(message)
         except errors.EndivesillError as error:
             return error_to_message(error)
 
--- a/endivesill/control/settings.py
+++ b/endivesill/control/settings.py
@@ -13,32 +13,36 @@
 @settings_section("control")
 @attrs.frozen
 class ControlSettings:
-    """How control replicas elect, replicate and keep their log."""
+    """Elections, replication and log storage of the control replicas."""
 
     heartbeat_s: float = schema.field(
-        "period of the leader's heartbeats", default=0.5, minimum=0.05, maximum=5
+        "interval between the leader's heartbeats", default=0.5, minimum=0.05, maximum=5
     )
     election_timeout_s: float = schema.field(
-        "shortest time without a leader before an election; the longest is 1.6 times",
+        "minimum election timeout; the actual one is random, up to 1.6 times as long",
         default=1.2,
         minimum=0.2,
         maximum=30,
     )
     snapshot_entries: int = schema.field(
-        "log entries between two snapshots", default=10_000, minimum=10
+        "number of log entries between two snapshots", default=10_000, minimum=10
     )
     trailing_entries: int = schema.field(
-        "entries kept behind a snapshot for slow replicas", default=1_000, minimum=0
+        "log entries kept before the snapshot's index for slow followers",
+        default=1_000,
+        minimum=0,
     )
     segment_bytes: int = schema.field(
-        "size at which a new log file is begun", default=8_388_608, minimum=4_096
+        "size at which a new log segment is started", default=8_388_608, minimum=4_096
     )
     batch_entries: int = schema.field(
-        "entries in one message to a replica at most", default=256, minimum=1
+        "maximum number of log entries in one append request", default=256, minimum=1
     )
     minimum_voters: int = schema.field(
-        "voters without which nothing is accepted", default=1, minimum=1
+        "number of voters below which all proposals are refused", default=1, minimum=1
     )
     chunk_bytes: int = schema.field(
-        "size of one part of a snapshot that is sent", default=262_144, minimum=64
+        "size of one chunk of a snapshot sent to a follower",
+        default=262_144,
+        minimum=64,
     )
--- a/endivesill/control/voter_manager.py
+++ b/endivesill/control/voter_manager.py
@@ -1,7 +1,7 @@
-"""The leader's part of changes of the voters.
+"""Membership changes, carried out by the leader.
 
-Voters change one at a time. A change is refused unless a majority of the voters
-after it is live and caught up.
+The voter set changes by one voter at a time. A change is refused unless a majority
+of the resulting voters is live and caught up.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 
 VOTERS_PATH = "/control/voters"
 
-READY_LAG_ENTRIES = 100
+MAX_READY_LAG_ENTRIES = 100
 CALL_TIMEOUT_S = 1.0
-ANSWER_MARGIN_S = 0.2
+RESPONSE_MARGIN_S = 0.2
 
 
 @attrs.frozen
 class ReplicaStatus:
-    """One replica as the leader sees it.
+    """The leader's view of one replica.
 
     Attributes:
-      identity: the identity of its disk.
-      address: its peer address.
-      voter: whether it votes; a learner does not.
-      live: whether it has answered within an election timeout.
-      ready: whether it is live and has caught up with the log.
-      match_index: the last index known to be on its disk.
+      identity: the replica ID, which is bound to its disk.
+      address: the peer address.
+      voter: whether it is a voter; otherwise it is a learner.
+      live: whether it responded within the election timeout.
+      ready: whether it is live and caught up with the log.
+      match_index: the highest index known to be on its disk.
     """
 
     identity: str
@@ -58,16 +58,16 @@
 
 @attrs.frozen
 class ClusterStatus:
-    """The cluster as its leader sees it.
+    """The leader's view of the cluster.
 
     Attributes:
-      cluster: the cluster's id.
+      cluster: the cluster ID.
       term: the leader's term.
       leader: the leader's identity.
-      commit_index: the last committed index.
-      replicas: voters and learners.
-      spare_voters: how many voters can be lost at once without losing the
-        quorum; negative without a quorum.
+      commit_index: the highest committed index.
+      replicas: the voters and learners, sorted by identity.
+      spare_voters: how many ready voters can fail at once without loss of the
+        quorum; negative if there is no quorum.
     """
 
     cluster: str
@@ -83,19 +83,19 @@
 
     @classmethod
     def from_document(cls, document: Message) -> ClusterStatus:
-        """Return the status of a JSON object."""
+        """Return the status that `to_document` encoded."""
         replicas = tuple(ReplicaStatus(**r) for r in document["replicas"])
         return cls(**{**document, "replicas": replicas})
 
 
 @attrs.frozen
 class ChangeResult:
-    """How a change of voters ended.
+    """Result of a membership change.
 
     Attributes:
-      done: whether it is made and the cluster can lose one more voter.
-      detail: what is still missing, in one line.
-      status: the cluster afterwards.
+      done: whether the change is complete and the cluster can lose one more voter.
+      detail: what is still missing, in one line; empty if the change is done.
+      status: the status of the cluster after the change.
     """
 
     done: bool
@@ -104,7 +104,7 @@
 
 
 class VoterManager:
-    """The part of a replica that changes voters while it leads.
+    """Carries out membership changes while this replica leads.
 
     Args:
       core: the replica's shared state.
@@ -115,12 +115,17 @@
         self._lock = asyncio.Lock()
 
     async def handle_voters(self, message: Message) -> Message:
-        """Answer VoterOperations."""
-        timeout_s = message["timeout_s"] - ANSWER_MARGIN_S
+        """Handle a request of VoterOperations.
+
+        Raises:
+          NotLeaderError: this replica does not lead.
+          UnsafeChangeError: the cluster might lose its quorum.
+        """
+        timeout_s = message["timeout_s"] - RESPONSE_MARGIN_S
         replica, address = message["replica"], message["address"]
         operation = message["operation"]
         if operation == "status":
-            self._leading()
+            self._require_leadership()
             return {"status": self.status().to_document()}
         try:
             detail = await self._core.timer.wait_for(
@@ -131,24 +136,32 @@
         except errors.UnsafeChangeError as error:
             events.emit(VOTERS_REFUSED, operation=operation, reason=str(error))
             raise
-        self._leading()
+        self._require_leadership()
         change = {"done": not detail, "detail": detail}
         return {"change": change, "status": self.status().to_document()}
 
     async def handle_join(self, message: Message) -> Message:
-        """Take a replica without a state as a learner."""
+        """Add a replica as a learner at its own request.
+
+        Raises:
+          NotLeaderError: this replica does not lead.
+        """
         identity, address = message["identity"], message["address"]
         async with self._lock:
             await self._add_learner(identity, address)
         return {"joined": True}
 
     async def promote(self, identity: str) -> None:
-        """Make a learner that has caught up a voter."""
+        """Promote a learner to voter, waiting until it has caught up.
+
+        Raises:
+          UnsafeChangeError: the cluster might lose its quorum.
+        """
         async with self._lock:
             await self._promote(identity)
 
-    async def drop(self, identity: str) -> None:
-        """Remove a replica that is lost.
+    async def remove_lost(self, identity: str) -> None:
+        """Remove a lost voter or learner.
 
         Raises:
           UnsafeChangeError: the cluster might lose its quorum.
@@ -157,7 +170,7 @@
             await self._check_and_commit(self._core.voter_set.without(identity))
 
     async def _change(self, operation: str, replica: str, address: str) -> str:
-        """Make a change and return what is missing at its end."""
+        """Carry out a change; return what is still missing, or the empty string."""
         async with self._lock:
             if operation == "add":
                 await self._add(address)
@@ -168,24 +181,28 @@
             else:
                 raise errors.EndivesillError(f"no operation {operation!r}")
         if operation == "remove":
-            return self._missing()
-        await self._until(lambda: not self._missing())
+            return self._missing_redundancy()
+        await self._wait_until(lambda: not self._missing_redundancy())
         return ""
 
-    def _missing(self) -> str:
+    def _missing_redundancy(self) -> str:
         spare = self._spare_voters(self._core.voter_set)
         return "" if spare >= 1 else "the cluster cannot lose one more voter"
 
-    def _leading(self) -> Leadership:
+    def _require_leadership(self) -> Leadership:
         leadership = self._core.leadership
         if leadership is None:
             raise errors.NotLeaderError(self._core.active_leader_address())
         return leadership
 
-    # What the leader sees.
+    # Status.
 
     def status(self) -> ClusterStatus:
-        """Return the cluster as this leader sees it."""
+        """Return this leader's view of the cluster.
+
+        Raises:
+          NotLeaderError: this replica does not lead.
+        """
         core = self._core
         voter_set = core.voter_set
         return ClusterStatus(
@@ -193,13 +210,15 @@
             core.term,
             core.identity,
             core.commit_index,
-            tuple(self._replica(i, a) for i, a in sorted(voter_set.members.items())),
+            tuple(
+                self._replica_status(i, a) for i, a in sorted(voter_set.members.items())
+            ),
             self._spare_voters(voter_set),
         )
 
-    def _replica(self, identity: str, address: str) -> ReplicaStatus:
+    def _replica_status(self, identity: str, address: str) -> ReplicaStatus:
         core = self._core
-        progress = self._leading().progress.get(identity)
+        progress = self._require_leadership().progress.get(identity)
         if progress is None:
             match_index, live = core.log.synced_index, True
         else:
@@ -207,13 +226,13 @@
             elapsed_s = core.timer.now_s() - progress.last_contact_s
             live = elapsed_s < core.settings.election_timeout_s
         lag_entries = core.log.last_index - match_index
-        ready = live and lag_entries <= READY_LAG_ENTRIES
+        ready = live and lag_entries <= MAX_READY_LAG_ENTRIES
         voter = identity in core.voter_set.voters
         return ReplicaStatus(identity, address, voter, live, ready, match_index)
 
     def _is_ready(self, identity: str) -> bool:
         address = self._core.voter_set.members[identity]
-        return self._replica(identity, address).ready
+        return self._replica_status(identity, address).ready
 
     def _spare_voters(self, voter_set: VoterSet) -> int:
         known = self._core.voter_set.members
@@ -221,7 +240,13 @@
         return len(ready) - voter_set.quorum
 
     def _identity_of(self, replica: str) -> str:
-        """Return the identity of a member given by identity or address."""
+        """Return the identity of a member given by identity or address.
+
+        At the same address, a voter takes precedence over a learner.
+
+        Raises:
+          UnsafeChangeError: there is no such member.
+        """
         voter_set = self._core.voter_set
         if replica in voter_set.members:
             return replica
@@ -231,11 +256,11 @@
             raise errors.UnsafeChangeError(f"no replica {replica}")
         return found[0]
 
-    # Steps; each is committed before the next.
+    # Steps of a change; each one is committed before the next.
 
     async def _commit(self, voter_set: VoterSet) -> None:
         timeout_s = 2 * self._core.settings.election_timeout_s
-        await self._leading().change_voters(voter_set, timeout_s)
+        await self._require_leadership().change_voters(voter_set, timeout_s)
 
     async def _check_and_commit(self, voter_set: VoterSet) -> None:
         if not voter_set.voters:
@@ -249,11 +274,11 @@
         await self._commit(voter_set)
 
     async def _add_learner(self, identity: str, address: str) -> None:
-        self._leading()
+        self._require_leadership()
         voter_set = self._core.voter_set
         if identity in voter_set.members:
             return
-        # A learner that was at the address before has lost its disk.
+        # An earlier learner at the same address has lost its disk.
         for stale, stale_address in voter_set.learners.items():
             if stale_address == address:
                 voter_set = voter_set.without(stale)
@@ -263,22 +288,28 @@
         voter_set = self._core.voter_set
         if identity in voter_set.voters:
             return
-        await self._until(lambda: self._is_ready(identity))
+        await self._wait_until(lambda: self._is_ready(identity))
         await self._check_and_commit(self._core.voter_set.with_voter(identity))
 
     async def _add(self, address: str) -> None:
-        identity = await self._ask_identity(address)
+        identity = await self._fetch_identity(address)
         await self._add_learner(identity, address)
         await self._promote(identity)
 
     async def _remove(self, identity: str) -> None:
-        leadership = self._leading()
+        leadership = self._require_leadership()
         if identity == self._core.identity:
-            await self._hand_over(leadership)
+            await self._transfer_leadership(leadership)
         await self._check_and_commit(self._core.voter_set.without(identity))
 
-    async def _hand_over(self, leadership: Leadership) -> None:
-        """Let another voter lead; the caller is sent on to it."""
+    async def _transfer_leadership(self, leadership: Leadership) -> None:
+        """Transfer leadership and redirect the caller to the new leader.
+
+        Raises:
+          NotLeaderError: leadership was transferred; names the new leader.
+          UnavailableError: no voter took over.
+          UnsafeChangeError: there is no other voter.
+        """
         if len(self._core.voter_set.voters) == 1:
             raise errors.UnsafeChangeError("the last voter must stay")
         if not await leadership.transfer(None):
@@ -286,8 +317,8 @@
         raise errors.NotLeaderError(self._core.active_leader_address())
 
     async def _replace(self, replica: str, address: str) -> None:
-        leadership = self._leading()
-        new = await self._ask_identity(address)
+        leadership = self._require_leadership()
+        new = await self._fetch_identity(address)
         members = self._core.voter_set.members
         if new in self._core.voter_set.voters and (
             replica not in members and replica not in (a for a in members.values())
@@ -295,22 +326,22 @@
             return
         old = self._identity_of(replica)
         if old == new:
-            # The old replica at the same address has been replaced already.
+            # The replica at this address was replaced already.
             return
         if old == self._core.identity:
-            await self._hand_over(leadership)
+            await self._transfer_leadership(leadership)
         await self._add_learner(new, address)
-        await self._until(lambda: self._is_ready(new))
+        await self._wait_until(lambda: self._is_ready(new))
         if not self._is_ready(old):
-            # A lost voter goes first: until the new one is in, it counts for
-            # nothing, and the loss of the new one does no harm.
+            # A lost voter is removed before the promotion. Until then the new
+            # replica does not count towards the quorum, so its failure does no harm.
             await self._check_and_commit(self._core.voter_set.without(old))
             await self._promote(new)
             return
         await self._promote(new)
         await self._check_and_commit(self._core.voter_set.without(old))
 
-    async def _ask_identity(self, address: str) -> str:
+    async def _fetch_identity(self, address: str) -> str:
         core = self._core
         if address == core.transport.address:
             return core.identity
@@ -323,8 +354,8 @@
             raise errors.UnsafeChangeError(f"{address} is in another cluster")
         return hello.identity
 
-    async def _until(self, condition: Callable[[], bool]) -> None:
-        leadership = self._leading()
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        leadership = self._require_leadership()
         while not condition():
             await leadership.progress_changed.wait()
-            self._leading()
+            self._require_leadership()
--- a/endivesill/control/wire.py
+++ b/endivesill/control/wire.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated state as JSON objects between processes."""
+"""Encoding of errors of the replicated state as messages."""
 
 from __future__ import annotations
 
@@ -21,14 +21,20 @@
 
 
 def error_to_message(error: errors.EndivesillError) -> Message:
-    """Return the JSON object of an error."""
+    """Return an error as `{"error": CLASS, "text": ...}`.
+
+    A NotLeaderError holds the leader's address under "leader" instead of a text.
+    """
     if isinstance(error, errors.NotLeaderError):
         return {"error": "NotLeaderError", "leader": error.leader_address}
     return {"error": type(error).__name__, "text": str(error)}
 
 
 def raise_error(message: Message) -> None:
-    """Raise the error that a JSON object holds, if it holds one."""
+    """Raise the error that a message holds, if any.
+
+    An unknown error class is raised as an EndivesillError.
+    """
     name = message.get("error")
     if name is None:
         return
@@ -38,7 +44,7 @@
 
 
 def raise_command_failure(outcome: Message) -> None:
-    """Raise the error that a command has raised, if it has raised one."""
+    """Raise the error of the command that an outcome holds, if any."""
     name = outcome.get("failure")
     if name is not None:
         raise _KINDS.get(name, errors.EndivesillError)(outcome.get("text", name))
--- a/tests/test_control_repair.py
+++ b/tests/test_control_repair.py
@@ -44,7 +44,7 @@
         wanted = sorted(addresses)
         for _ in range(int(timeout_s / 0.1)):
             leader = await self.leader()
-            status = leader._manager.status()
+            status = leader._voter_manager.status()
             voters = sorted(r.address for r in status.replicas if r.voter)
             if voters == wanted and all(r.ready for r in status.replicas if r.voter):
                 return
