--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of control replicas in one process, for tests."""
+"""Test cluster of control replicas in one process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @command("test.swap")
 def swap(state: State, message: Message, context: CommandContext) -> Message:
-    """Compare and set: writes `new` only if the value is `old`."""
+    """Compare and swap: set the value to `new` only if it is `old`."""
     section = state.section("test")
     value = section.get(message["key"])
     if value == message["old"]:
@@ -44,7 +44,7 @@
 
 @command("test.fail")
 def fail(state: State, message: Message, context: CommandContext) -> Message:
-    raise ValueError("as the test wants")
+    raise ValueError("injected failure")
 
 
 @query("test.get")
@@ -53,7 +53,7 @@
 
 
 class Cluster:
-    """Replicas over a memory network and memory disks."""
+    """Replicas with in-memory network and disks, on a manual timer."""
 
     def __init__(self, size: int = 3, settings=SETTINGS, seed: int = 1) -> None:
         self.timer = ManualTimer()
@@ -72,7 +72,7 @@
         return await self.leader()
 
     async def boot(self, address: str, disk: MemoryDisk | None = None):
-        """Start a replica, on its old disk if none is given."""
+        """Start a replica, on its previous disk if none is given."""
         disk = disk or self.disks[address]
         self.disks[address] = disk
         replica = self.new_replica(address, disk)
@@ -81,7 +81,7 @@
         return replica
 
     def new_replica(self, address: str, disk: MemoryDisk) -> ControlReplica:
-        """Return a replica that is not started yet."""
+        """Create a replica without starting it."""
         return ControlReplica(
             self.timer,
             self.network.transport(address),
@@ -92,7 +92,7 @@
         )
 
     async def crash(self, address: str, seed: int | None = None) -> None:
-        """Kill a replica; its disk keeps what was synced, and more by seed."""
+        """Kill a replica; with a seed its disk also keeps some unsynced data."""
         self.network.remove(address)
         replica = self.replicas.pop(address)
         self.disks[address] = self.disks[address].crash(seed)
@@ -103,7 +103,7 @@
         return await self.boot(address)
 
     async def leader(self, timeout_s: float = 20.0, among=None) -> ControlReplica:
-        """Advance until one replica leads and can commit."""
+        """Advance the timer until a leader holds its lease; return it."""
         for _ in range(int(timeout_s / STEP_S)):
             for address, replica in self.replicas.items():
                 if among is not None and address not in among:
@@ -125,7 +125,7 @@
         return RemoteControlClient(self.timer, transport, self.addresses)
 
     async def run(self, coroutine, timeout_s: float = 30.0):
-        """Advance until a coroutine has its result."""
+        """Run a coroutine, advancing the timer until it is done."""
         task = asyncio.ensure_future(coroutine)
         end_s = self.timer.now_s() + timeout_s
         await self.timer.advance(0)
@@ -151,10 +151,10 @@
 
 
 class ClusterTestCase(unittest.IsolatedAsyncioTestCase):
-    """A test with a cluster that is closed at its end."""
+    """Base of tests with a cluster, which is closed after the test."""
 
     async def asyncSetUp(self):
-        # The debug mode notes a stack with each task; there are very many.
+        # Debug mode records a stack for each task, which is slow with many tasks.
         asyncio.get_running_loop().set_debug(False)
 
     async def start(self, size: int = 3, settings=SETTINGS, seed: int = 1) -> Cluster:
--- a/tests/linearizability.py
+++ b/tests/linearizability.py
@@ -1,7 +1,7 @@
-"""A checker of recorded histories of one register with compare-and-set.
+"""Linearizability checker for histories of one register with compare-and-swap.
 
-The search of Wing and Gong with the memory of Lowe: an operation may come next
-if no other one that is left has ended before it began.
+Wing and Gong's search with Lowe's memoization: an operation may be linearized next
+if no remaining operation ended before it started.
 """
 
 from __future__ import annotations
@@ -16,69 +16,69 @@
 
 @attrs.define
 class Operation:
-    """One call as its client saw it.
+    """One call as observed by its client.
 
     Attributes:
       kind: `put`, `get` or `swap`.
-      arguments: what was written, or the old and the new value.
-      began_s: when it was called.
-      ended_s: when it was answered; infinity if the outcome is unknown.
-      result: what was answered; None if the outcome is unknown.
+      arguments: the value of a put, the old and new values of a swap.
+      started_s: time of the call.
+      ended_s: time of the response; infinity if the outcome is unknown.
+      result: the response; None if the outcome is unknown.
     """
 
     kind: str
     arguments: tuple[Any, ...]
-    began_s: float
+    started_s: float
     ended_s: float = math.inf
     result: Any = None
 
 
-def _step(operation: Operation, value: Any) -> tuple[bool, Any]:
-    """Return whether the result fits a value, and the value afterwards."""
-    known = operation.ended_s != math.inf
+def _apply(operation: Operation, value: Any) -> tuple[bool, Any]:
+    """Return whether the result is consistent with a value, and the new value."""
+    is_known = operation.ended_s != math.inf
     if operation.kind == "get":
-        return not known or operation.result == value, value
+        return not is_known or operation.result == value, value
     if operation.kind == "put":
         return True, operation.arguments[0]
     old, new = operation.arguments
     swapped = value == old
-    fits = not known or operation.result == swapped
-    return fits, new if swapped else value
+    is_consistent = not is_known or operation.result == swapped
+    return is_consistent, new if swapped else value
 
 
-def is_linearizable(history: list[Operation], first: Any = None) -> bool:
-    """Tell whether some order of the calls explains all answers.
+def is_linearizable(history: list[Operation], initial: Any = None) -> bool:
+    """Return whether some sequential order of the calls explains all results.
 
-    A call of unknown outcome whose value nobody has seen may never have run;
-    without these calls the search is short.
+    The search is first tried without calls of unknown outcome whose value was never
+    observed, as it is much shorter; they need not have run.
     """
-    seen = {o.result for o in history if o.kind == "get"}
-    seen |= {o.arguments[0] for o in history if o.kind == "swap"}
-    likely = [
-        o
-        for o in history
-        if o.ended_s != math.inf or (o.kind != "get" and o.arguments[-1] in seen)
+    observed = {op.result for op in history if op.kind == "get"}
+    observed |= {op.arguments[0] for op in history if op.kind == "swap"}
+    effective = [
+        op
+        for op in history
+        if op.ended_s != math.inf or (op.kind != "get" and op.arguments[-1] in observed)
     ]
-    return _search(likely, first) or _search(history, first)
+    return _search(effective, initial) or _search(history, initial)
 
 
-def _search(history: list[Operation], first: Any) -> bool:
-    seen: set[tuple[frozenset[int], Any]] = set()
-    stack = [(frozenset(range(len(history))), first)]
+def _search(history: list[Operation], initial: Any) -> bool:
+    visited: set[tuple[frozenset[int], Any]] = set()
+    stack = [(frozenset(range(len(history))), initial)]
     while stack:
-        left, value = stack.pop()
-        if (left, value) in seen:
+        remaining, value = stack.pop()
+        if (remaining, value) in visited:
             continue
-        seen.add((left, value))
-        if all(history[i].ended_s == math.inf for i in left):
+        visited.add((remaining, value))
+        if all(history[i].ended_s == math.inf for i in remaining):
             return True
-        earliest_end_s = min(history[i].ended_s for i in left)
-        # The stack takes the last one first: calls that ended early go before
-        # those whose outcome is unknown.
-        for i in sorted(left, key=lambda i: -history[i].ended_s):
-            if history[i].began_s > earliest_end_s:
+        earliest_end_s = min(history[i].ended_s for i in remaining)
+        # Calls are pushed in reverse order of their end, so that those that ended
+        # early are tried before those of unknown outcome.
+        for i in sorted(remaining, key=lambda i: -history[i].ended_s):
+            if history[i].started_s > earliest_end_s:
                 continue
-            fits, after = _step(history[i], value)
-            if fits:
-                stack.append((left - {i}, after))
+            is_consistent, new_value = _apply(history[i], value)
+            if is_consistent:
+                stack.append((remaining - {i}, new_value))
     return False
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""Tests of proposals, queries and what replicas answer by themselves."""
+"""Tests of proposals, queries, client sessions and newest indexes."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class ResendTest(ClusterTestCase):
-    async def test_a_resend_after_a_lost_answer_gets_the_first_answer(self):
+    async def test_a_resend_after_a_lost_response_returns_the_first_result(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 0)
@@ -29,7 +29,7 @@
         self.assertEqual(first_index, answer["index"])
         self.assertEqual(2, cluster.replicas[leader].state.section("test")["runs"])
 
-    async def test_a_resend_to_another_leader_gets_the_first_answer(self):
+    async def test_a_resend_to_another_leader_returns_the_first_result(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 0)
@@ -68,11 +68,11 @@
         ).handlers
         propose, sizes = handlers["/control/propose"], []
 
-        async def count(message):
+        async def count_and_propose(message):
             sizes.append(len(message["proposals"]))
             return await propose(message)
 
-        handlers["/control/propose"] = count
+        handlers["/control/propose"] = count_and_propose
         calls = [
             client.propose("test.put", {"key": f"k{n}", "value": n}, 5.0)
             for n in range(32)
@@ -82,9 +82,9 @@
         self.assertEqual(33, sum(sizes))
         self.assertLessEqual(len(sizes), 3)
         self.assertEqual(32, len({outcome["index"] for outcome in outcomes[:-1]}))
-        self.assertIn("as the test wants", str(outcomes[-1]))
+        self.assertIn("injected failure", str(outcomes[-1]))
 
-    async def test_a_batch_that_is_sent_again_runs_each_proposal_once(self):
+    async def test_a_resent_batch_runs_each_proposal_once(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 0)
@@ -102,21 +102,21 @@
         for replica in cluster.replicas.values():
             self.assertEqual(11, replica.state.section("test")["runs"])
 
-    async def test_a_proposal_that_waits_behind_a_lost_call_is_known_not_to_run(self):
+    async def test_a_proposal_queued_behind_lost_calls_is_known_not_to_run(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 0)
         cluster.network.isolate("10.0.1.1:7000")
         message = {"key": "a", "value": 1}
-        held = []
+        blocked = []
         for _ in range(2):
             call = client.propose("test.put", message, 30.0)
-            held.append(asyncio.ensure_future(call))
+            blocked.append(asyncio.ensure_future(call))
             await cluster.timer.advance(0.1)
         with self.assertRaises(errors.UnavailableError):
             await cluster.run(client.propose("test.put", message, 1.0))
         cluster.network.heal()
-        await cluster.run(asyncio.gather(*held))
+        await cluster.run(asyncio.gather(*blocked))
 
 
 class SessionsTest(ClusterTestCase):
@@ -124,7 +124,7 @@
         proposal = Proposal("test.put", {}, client, sequence, answered)
         sessions.record(proposal, {"result": sequence}, time_s)
 
-    def test_results_are_kept_until_the_client_has_them(self):
+    def test_results_are_kept_until_the_client_acknowledges_them(self):
         sessions = Sessions()
         for sequence in (1, 2, 3):
             self.record(sessions, "c", sequence)
@@ -134,26 +134,26 @@
         self.assertTrue(sessions.is_stale("c", 2))
         self.assertEqual({"result": 3}, sessions.result("c", 3))
 
-    def test_sessions_end_when_unused_and_survive_a_snapshot(self):
+    def test_unused_sessions_expire_and_others_survive_a_snapshot(self):
         sessions = Sessions()
         self.record(sessions, "old", 1, time_s=1.0)
         self.record(sessions, "new", 1, time_s=SESSION_LIFETIME_S)
-        copy = Sessions.from_document(sessions.to_document())
-        self.assertEqual({"result": 1}, copy.result("old", 1))
-        self.record(copy, "new", 2, time_s=SESSION_LIFETIME_S + 2.0)
-        self.assertIsNone(copy.result("old", 1))
-        self.assertEqual({"result": 1}, copy.result("new", 1))
+        decoded = Sessions.from_document(sessions.to_document())
+        self.assertEqual({"result": 1}, decoded.result("old", 1))
+        self.record(decoded, "new", 2, time_s=SESSION_LIFETIME_S + 2.0)
+        self.assertIsNone(decoded.result("old", 1))
+        self.assertEqual({"result": 1}, decoded.result("new", 1))
 
 
 class CommandTest(ClusterTestCase):
-    async def test_a_command_that_raises_stops_nothing(self):
+    async def test_later_commands_run_after_one_raises(self):
         cluster = await self.start()
         client = cluster.client()
-        with self.assertRaisesRegex(errors.EndivesillError, "as the test wants"):
+        with self.assertRaisesRegex(errors.EndivesillError, "injected failure"):
             await cluster.run(client.propose("test.fail", {}, 5.0))
         await cluster.put(client, "a", 1)
 
-    async def test_an_unknown_command_is_refused_before_the_log(self):
+    async def test_an_unknown_command_is_not_appended(self):
         cluster = await self.start()
         leader = await cluster.leader()
         last_index = leader.core.log.last_index
@@ -161,7 +161,7 @@
             await cluster.run(cluster.client().propose("test.none", {}, 5.0))
         self.assertEqual(last_index, leader.core.log.last_index)
 
-    async def test_what_a_command_does_to_its_argument_is_not_in_the_log(self):
+    async def test_a_command_that_modifies_its_argument_does_not_modify_the_log(self):
         machine = StateMachine()
         value = {"inner": [1]}
         proposal = Proposal("test.put", {"key": "a", "value": value}, "c", 1)
@@ -184,7 +184,7 @@
         transport = cluster.network.transport("10.0.2.1:7000")
         return await cluster.run(transport.call(address, NEWEST_PATH, {}, 1.0))
 
-    async def test_each_replica_answers_by_itself(self):
+    async def test_each_replica_reports_its_own_indexes(self):
         cluster = await self.start()
         client = cluster.client()
         committed = await cluster.put(client, "a", 1)
@@ -200,7 +200,7 @@
             self.assertEqual(committed["index"], answer["commit_index"])
             self.assertEqual(set(cluster.addresses), set(answer["voters"].values()))
 
-    async def test_an_entry_that_is_not_committed_yet_counts_as_newest(self):
+    async def test_an_uncommitted_entry_counts_as_newest(self):
         cluster = await self.start()
         leader = await cluster.leader()
         self.assertEqual(0, leader.newest_index_of("test.put"))
--- a/tests/test_control_disk.py
+++ b/tests/test_control_disk.py
@@ -1,4 +1,4 @@
-"""Tests of the disks of the control replicas."""
+"""Tests of the file disk and the memory disk."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
     def setUp(self):
         self.folder = tempfile.mkdtemp()
 
-    async def test_files_are_found_again_after_a_restart(self):
+    async def test_files_persist_across_a_restart(self):
         disk = FileDisk(self.folder)
         await disk.create("log-1")
         disk.append("log-1", b"one")
@@ -34,7 +34,7 @@
         self.assertEqual(b"new", disk.read("metadata"))
         disk.close()
 
-    async def test_a_missing_folder_is_made_with_those_above_it(self):
+    async def test_a_missing_folder_is_created_with_its_parents(self):
         folder = os.path.join(self.folder, "one", "two")
         FileDisk(folder).close()
         self.assertEqual(["lock"], os.listdir(folder))
@@ -46,7 +46,7 @@
         disk.close()
         FileDisk(self.folder).close()
 
-    async def test_a_replica_commits_on_real_files_and_finds_them_again(self):
+    async def test_a_replica_on_real_files_keeps_commits_across_a_restart(self):
         timer = SystemTimer()
         address = "10.0.0.1:7000"
         for expected in (None, 1):
@@ -63,7 +63,7 @@
 
 
 class MemoryDiskTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_crash_loses_what_was_not_synced(self):
+    async def test_a_crash_loses_unsynced_data(self):
         disk = MemoryDisk()
         await disk.create("log-1")
         disk.append("log-1", b"one")
@@ -71,7 +71,7 @@
         disk.append("log-1", b"two")
         self.assertEqual(b"one", disk.crash().read("log-1"))
 
-    async def test_a_crash_may_keep_any_part_of_what_was_not_synced(self):
+    async def test_a_crash_may_keep_any_part_of_unsynced_data(self):
         survivors = set()
         for seed in range(60):
             disk = MemoryDisk({"log-1": b"one"})
@@ -94,7 +94,7 @@
         self.assertEqual(4, disk.boundaries)
         self.assertEqual(b"new", disk.crash().read("metadata"))
 
-    async def test_a_stopped_disk_refuses_all_that_follows(self):
+    async def test_a_stopped_disk_refuses_writes(self):
         disk = MemoryDisk()
         disk.crash()
         with self.assertRaises(errors.StorageError):
--- a/tests/test_control_linearizability.py
+++ b/tests/test_control_linearizability.py
@@ -1,4 +1,4 @@
-"""Recorded histories under random faults, and the checker itself."""
+"""Linearizability of histories under random faults, and tests of the checker."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    def test_a_stale_read_is_found(self):
+    def test_a_stale_read_is_detected(self):
         history = [
             Operation("put", (1,), 0.0, 1.0, {}),
             Operation("put", (2,), 2.0, 3.0, {}),
@@ -40,7 +40,7 @@
         history[2].result = 2
         self.assertTrue(is_linearizable(history))
 
-    def test_calls_at_the_same_time_may_come_in_any_order(self):
+    def test_concurrent_calls_may_take_effect_in_any_order(self):
         for value in (1, 2):
             history = [
                 Operation("put", (1,), 0.0, 3.0, {}),
@@ -49,7 +49,7 @@
             ]
             self.assertTrue(is_linearizable(history))
 
-    def test_an_unknown_outcome_may_show_later_but_not_vanish_again(self):
+    def test_a_call_of_unknown_outcome_may_take_effect_late_but_is_not_undone(self):
         history = [
             Operation("put", (1,), 0.0),
             Operation("get", (), 4.0, 5.0, None),
@@ -59,7 +59,7 @@
         history.append(Operation("get", (), 8.0, 9.0, None))
         self.assertFalse(is_linearizable(history))
 
-    def test_two_swaps_from_the_same_value_cannot_both_win(self):
+    def test_two_swaps_from_the_same_value_cannot_both_succeed(self):
         history = [
             Operation("swap", (None, 1), 0.0, 3.0, True),
             Operation("swap", (None, 2), 0.0, 3.0, True),
@@ -68,7 +68,7 @@
 
 
 class Workload:
-    """Clients that read and write while faults come and go."""
+    """Clients that read and write while random faults are injected."""
 
     def __init__(self, cluster, seed):
         self.cluster = cluster
@@ -77,21 +77,21 @@
         self.values = iter(range(1, 100_000))
         self.stopping = False
 
-    async def run_client(self, client, chooser):
+    async def run_client(self, client, rng):
         while not self.stopping:
-            await self.call(client, chooser)
-            await self.cluster.timer.sleep(chooser.uniform(0.0, 0.6))
+            await self.make_call(client, rng)
+            await self.cluster.timer.sleep(rng.uniform(0.0, 0.6))
 
-    async def call(self, client, chooser):
-        key = chooser.choice(KEYS)
-        kind = chooser.choice(("put", "get", "get", "swap"))
+    async def make_call(self, client, rng):
+        key = rng.choice(KEYS)
+        kind = rng.choice(("put", "get", "get", "swap"))
         timer = self.cluster.timer
         history = self.histories[key]
-        timeout_s = chooser.choice((0.5, 3.0))
+        timeout_s = rng.choice((0.5, 3.0))
         arguments = {
             "put": lambda: (next(self.values),),
             "get": lambda: (),
-            "swap": lambda: (self.recent(history), next(self.values)),
+            "swap": lambda: (self.last_read_value(history), next(self.values)),
         }[kind]()
         operation = Operation(kind, arguments, timer.now_s())
         history.append(operation)
@@ -104,7 +104,7 @@
             return
         operation.ended_s = timer.now_s()
 
-    def recent(self, history):
+    def last_read_value(self, history):
         read = [o.result for o in history if o.kind == "get" and o.result is not None]
         return read[-1] if read else None
 
@@ -120,14 +120,14 @@
         answer = await client.propose("test.swap", message, timeout_s)
         return answer["swapped"]
 
-    async def fault(self):
-        cluster, chooser = self.cluster, self.random
-        address = chooser.choice(cluster.addresses)
-        other = chooser.choice(cluster.addresses)
+    async def inject_fault(self):
+        cluster, rng = self.cluster, self.random
+        address = rng.choice(cluster.addresses)
+        other = rng.choice(cluster.addresses)
         leaders = [r for r in cluster.replicas.values() if r.is_leader]
-        kind = chooser.choice(FAULTS)
+        kind = rng.choice(FAULTS)
         if kind == "crash" and address in cluster.replicas:
-            await cluster.crash(address, chooser.randrange(1_000))
+            await cluster.crash(address, rng.randrange(1_000))
         elif kind == "isolate":
             cluster.network.isolate(address)
         elif kind == "isolate-leader" and leaders:
@@ -141,10 +141,10 @@
         elif kind == "loss":
             cluster.network.loss = 0.05
         elif kind == "delay":
-            cluster.network.jitter_s = chooser.choice((0.01, 0.3))
+            cluster.network.jitter_s = rng.choice((0.01, 0.3))
         elif kind == "clock":
-            cluster.timer.wall_offset_s += chooser.choice((-1e6, 1e6))
-            cluster.timer.jump(chooser.choice((0.0, 0.3, 2.0)))
+            cluster.timer.wall_offset_s += rng.choice((-1e6, 1e6))
+            cluster.timer.jump(rng.choice((0.0, 0.3, 2.0)))
         elif kind == "full":
             cluster.disks[address].full = not cluster.disks[address].full
         elif kind == "transfer" and leaders:
@@ -162,11 +162,11 @@
         cluster = self.cluster
         tasks = []
         for _ in range(CLIENTS):
-            chooser = random.Random(self.random.random())
+            rng = random.Random(self.random.random())
             client = cluster.client()
-            tasks.append(asyncio.ensure_future(self.run_client(client, chooser)))
+            tasks.append(asyncio.ensure_future(self.run_client(client, rng)))
         for _ in range(STEPS):
-            await self.fault()
+            await self.inject_fault()
             await cluster.timer.advance(self.random.uniform(0.1, 2.0))
         cluster.network.heal()
         cluster.network.loss = 0.0
--- a/tests/test_control_recovery.py
+++ b/tests/test_control_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of catching up, crashes, full disks and planned stops."""
+"""Tests of catch-up, snapshots, crashes, full disks and leadership transfer."""
 
 import asyncio
 
@@ -42,7 +42,7 @@
         await cluster.timer.advance(5.0)
         self.assert_equal_states(cluster)
 
-    async def test_a_restart_after_a_thousand_changes_finds_them_all(self):
+    async def test_a_restart_recovers_a_thousand_changes(self):
         settings = attrs.evolve(
             SETTINGS, snapshot_entries=300, trailing_entries=50, segment_bytes=8_192
         )
@@ -59,7 +59,7 @@
         self.assertEqual(state, (await cluster.leader()).state.sections)
         self.assertEqual(1_000, state["test"]["runs"])
 
-    async def test_a_replica_far_behind_is_sent_batches(self):
+    async def test_a_replica_far_behind_catches_up_in_batches(self):
         cluster = await self.start()
         lost = cluster.followers()[0]
         await cluster.crash(lost)
@@ -68,7 +68,7 @@
         await cluster.timer.advance(2.0)
         self.assert_equal_states(cluster)
 
-    async def test_a_proposal_whose_entry_was_replaced_is_told_that_it_did_not_run(
+    async def test_a_proposal_whose_entry_was_replaced_is_known_not_to_run(
         self,
     ):
         cluster = await self.start()
@@ -84,7 +84,7 @@
         with self.assertRaises(errors.NotLeaderError):
             await task
 
-    async def test_a_minority_entry_of_an_old_leader_is_replaced(self):
+    async def test_uncommitted_entries_of_an_old_leader_are_replaced(self):
         cluster = await self.start()
         old = await cluster.leader()
         address = cluster.address_of(old)
@@ -108,7 +108,7 @@
 
 
 class SnapshotTest(ClusterTestCase):
-    def test_the_text_in_parts_is_read_back(self):
+    def test_a_snapshot_encoded_in_parts_is_decoded_unchanged(self):
         for size in (0, 1, 256, 257, 1_000):
             section = {f"k{n}": {"value": [n, "\u00e6"]} for n in range(size)}
             sections = {"test": section, "empty": {}, "other": {"a": 1}}
@@ -118,7 +118,7 @@
             )
             self.assertEqual(snapshot, Snapshot.from_text(snapshot.to_text()))
 
-    async def test_commands_wait_while_a_snapshot_is_made_and_none_is_in_it(self):
+    async def test_commands_are_not_applied_while_a_snapshot_is_encoded(self):
         settings = attrs.evolve(SETTINGS, snapshot_entries=10, trailing_entries=0)
         cluster = await self.start(settings=settings)
         leader = await cluster.leader()
@@ -181,7 +181,7 @@
                 await cluster.boot(address)
             self.assertEqual(round_number, await cluster.get(client, "a"))
 
-    async def test_a_leader_with_a_full_disk_hands_over(self):
+    async def test_a_leader_with_a_full_disk_gives_up_leadership(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -197,7 +197,7 @@
         await cluster.timer.advance(3.0)
         self.assert_equal_states(cluster)
 
-    async def test_a_leader_whose_snapshot_cannot_be_read_hands_over(self):
+    async def test_a_leader_with_an_unreadable_snapshot_gives_up_leadership(self):
         settings = attrs.evolve(SETTINGS, snapshot_entries=10, trailing_entries=0)
         cluster = await self.start(settings=settings)
         client = cluster.client()
@@ -215,7 +215,7 @@
         await cluster.timer.advance(2.0)
         self.assert_equal_states(cluster)
 
-    async def test_full_disks_refuse_until_there_is_space_again(self):
+    async def test_proposals_fail_while_all_disks_are_full(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -234,25 +234,25 @@
 
 
 class TransferTest(ClusterTestCase):
-    async def test_a_planned_stop_hands_leadership_over_at_once(self):
+    async def test_a_leadership_transfer_takes_effect_at_once(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
         leader = await cluster.leader()
-        began_s = cluster.timer.now_s()
+        started_s = cluster.timer.now_s()
         await cluster.run(leader.transfer_leadership())
         await cluster.put(client, "a", 2)
-        self.assertLess(cluster.timer.now_s() - began_s, 0.5)
+        self.assertLess(cluster.timer.now_s() - started_s, 0.5)
         self.assertFalse(leader.is_leader)
 
-    async def test_a_leader_that_has_offered_its_place_rests_on_no_lease(self):
+    async def test_a_leader_holds_no_lease_after_starting_a_transfer(self):
         cluster = await self.start()
         leader = await cluster.leader()
         leadership = leader.core.leadership
-        heir = cluster.replicas[cluster.followers()[0]]
-        original = cluster.network.find(cluster.address_of(heir)).handlers
+        transferee = cluster.replicas[cluster.followers()[0]]
+        original = cluster.network.find(cluster.address_of(transferee)).handlers
         original.pop("/control/lead")
-        moved = await cluster.run(leader.transfer_leadership(heir.identity))
+        moved = await cluster.run(leader.transfer_leadership(transferee.identity))
         self.assertFalse(moved)
         self.assertFalse(leadership.holds_lease())
         await cluster.put(cluster.client(), "a", 1)
--- a/tests/test_control_repair.py
+++ b/tests/test_control_repair.py
@@ -1,4 +1,4 @@
-"""Tests of voters that are made and replaced without an operator."""
+"""Tests of the automatic repair of the voter set."""
 
 import itertools
 
@@ -8,18 +8,18 @@
 from endivesill.control import ControlReplica, ControlSettings, MemoryDisk
 from tests.control_cluster import SETTINGS, Cluster, ClusterTestCase
 
-WANTED_VOTERS = 5
-# The platform counts a new or returned machine as lost for this long.
+DESIRED_VOTERS = 5
+# The platform treats a new or returned machine as lost for this time.
 CATCH_UP_S = 4.0
 
 
-class RepairedCluster(Cluster):
-    """Five control VMs that were told three seeds."""
+class SelfRepairingCluster(Cluster):
+    """Five control VMs that are configured with three of them as seeds."""
 
     def __init__(self, settings: ControlSettings = SETTINGS) -> None:
         super().__init__(5, settings)
         self.seeds = self.addresses[:3]
-        self.first_start = True
+        self.is_first_start = True
         self._numbers = itertools.count(1)
 
     def new_replica(self, address: str, disk: MemoryDisk) -> ControlReplica:
@@ -30,46 +30,48 @@
             self.seeds,
             self.settings,
             next(self._numbers),
-            may_create_cluster=self.first_start,
-            desired_voters=WANTED_VOTERS,
+            may_create_cluster=self.is_first_start,
+            desired_voters=DESIRED_VOTERS,
         )
 
     async def grow(self) -> None:
         await self.start()
-        self.first_start = False
+        self.is_first_start = False
         await self.wait_for_voters(self.addresses)
 
     async def wait_for_voters(self, addresses, timeout_s: float = 20.0) -> None:
-        """Advance until exactly these vote and are caught up."""
-        wanted = sorted(addresses)
+        """Advance until exactly these replicas are voters and caught up."""
+        expected = sorted(addresses)
         for _ in range(int(timeout_s / 0.1)):
             leader = await self.leader()
             status = leader._voter_manager.status()
             voters = sorted(r.address for r in status.replicas if r.voter)
-            if voters == wanted and all(r.ready for r in status.replicas if r.voter):
+            if voters == expected and all(r.ready for r in status.replicas if r.voter):
                 return
             await self.timer.advance(0.1)
         raise AssertionError(f"voters are {voters}")
 
-    def address_that_leads(self) -> str:
+    def leader_address(self) -> str:
         return next(a for a, r in self.replicas.items() if r.is_leader)
 
 
 class GrowthTest(ClusterTestCase):
-    async def cluster(self, settings: ControlSettings = SETTINGS) -> RepairedCluster:
-        cluster = RepairedCluster(settings)
+    async def cluster(
+        self, settings: ControlSettings = SETTINGS
+    ) -> SelfRepairingCluster:
+        cluster = SelfRepairingCluster(settings)
         self.addAsyncCleanup(cluster.close)
         await cluster.grow()
         return cluster
 
-    async def test_three_seeds_become_five_voters_by_themselves(self):
+    async def test_three_seeds_grow_to_five_voters_automatically(self):
         cluster = await self.cluster()
         identities = {r.core.cluster for r in cluster.replicas.values()}
         self.assertEqual(1, len(identities))
 
-    async def test_nothing_is_accepted_by_fewer_voters_than_are_wanted(self):
+    async def test_proposals_are_refused_below_the_minimum_number_of_voters(self):
         settings = attrs.evolve(SETTINGS, minimum_voters=4)
-        cluster = RepairedCluster(settings)
+        cluster = SelfRepairingCluster(settings)
         self.addAsyncCleanup(cluster.close)
         for address in cluster.seeds:
             await cluster.boot(address, MemoryDisk())
@@ -82,9 +84,12 @@
         await cluster.put(cluster.client(), "a", 1)
 
 
-class FrozenLeaderTest(ClusterTestCase):
-    async def test_each_replica_goes_to_the_new_leader_at_its_first_call(self):
-        """Seen in a score: each wasted its first call on the leader it had used."""
+class UnresponsiveLeaderTest(ClusterTestCase):
+    async def test_the_first_call_of_each_replica_goes_to_the_new_leader(self):
+        """Guards against a first call to the previous leader, which times out.
+
+        It came from a client that ignored the newer leader known to its replica.
+        """
         cluster = await self.start()
         old = cluster.address_of(await cluster.leader())
         for replica in cluster.replicas.values():
@@ -99,7 +104,7 @@
             replica = cluster.replicas[address]
             await cluster.run(replica.propose("test.put", message, 0.85))
 
-    async def test_a_call_to_a_leader_that_falls_silent_leaves_time_for_another(self):
+    async def test_a_call_to_an_unresponsive_leader_leaves_time_for_its_successor(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -109,36 +114,44 @@
 
 
 class LostVoterTest(ClusterTestCase):
-    async def cluster(self) -> RepairedCluster:
-        cluster = RepairedCluster()
+    async def cluster(self) -> SelfRepairingCluster:
+        cluster = SelfRepairingCluster()
         self.addAsyncCleanup(cluster.close)
         await cluster.grow()
         await cluster.put(cluster.client(), "a", 1)
         return cluster
 
-    async def lead_with(self, cluster: RepairedCluster, address: str) -> None:
-        """Make the replica at an address lead."""
+    async def make_leader(self, cluster: SelfRepairingCluster, address: str) -> None:
+        """Transfer leadership to the replica at an address."""
         identity = cluster.replicas[address].identity
         leader = await cluster.leader()
         if leader.identity != identity:
             await cluster.run(leader.transfer_leadership(identity))
         await cluster.leader(among=[address])
 
-    async def test_a_lost_disk_votes_again_within_the_catch_up_time(self):
-        """Seen in a hunt: no seed led, and the empty replica asked only seeds."""
+    async def test_a_replica_with_a_lost_disk_votes_again_within_the_catch_up_time(
+        self,
+    ):
+        """Guards against a replica that cannot rejoin because no seed leads.
+
+        The empty replica asked only the seeds for admission.
+        """
         cluster = await self.cluster()
-        await self.lead_with(cluster, cluster.addresses[4])
+        await self.make_leader(cluster, cluster.addresses[4])
         lost = cluster.seeds[0]
         await cluster.crash(lost)
         await cluster.boot(lost, MemoryDisk())
         await cluster.timer.advance(CATCH_UP_S)
         await cluster.wait_for_voters(cluster.addresses, timeout_s=0.1)
 
-    async def test_a_new_learner_is_not_taken_for_a_silent_one(self):
-        """Seen in a score: it was dropped at once by a leader of long standing."""
+    async def test_a_learner_is_not_removed_before_its_first_response(self):
+        """Guards against the removal of a learner before its first response.
+
+        A leader that had led for a long time took the learner as silent since then.
+        """
         cluster = await self.cluster()
         await cluster.timer.advance(30.0)
-        # The first answer comes after the leader has looked for what to repair.
+        # Delays the first response beyond the leader's next repair check.
         cluster.network.delay_s = 0.15
         lost = cluster.followers()[0]
         await cluster.crash(lost)
@@ -147,15 +160,18 @@
         await cluster.timer.advance(CATCH_UP_S)
         await cluster.wait_for_voters(cluster.addresses, timeout_s=0.1)
 
-    async def test_a_late_voter_leads_on_while_it_applies_the_log_again(self):
-        """Seen in a score: it took an old set of voters for its own removal."""
+    async def test_a_leader_keeps_leading_while_it_replays_old_voter_sets(self):
+        """Guards against a leader that steps down while it replays its log.
+
+        An old voter set without the leader was taken for its removal.
+        """
         cluster = await self.cluster()
         for address in cluster.addresses:
             await cluster.crash(address)
         late = cluster.addresses[3:]
         for address in late:
             await cluster.boot(address)
-        # The third one comes while these stand for election already.
+        # The third voter starts while these two campaign without a quorum.
         await cluster.timer.advance(3.0)
         await cluster.boot(cluster.seeds[0])
         leader = await cluster.leader(among=late)
@@ -164,9 +180,9 @@
         self.assertTrue(leader.is_leader)
         self.assertEqual(term, leader.core.term)
 
-    async def test_two_lost_disks_after_a_repair_leave_what_was_committed(self):
+    async def test_committed_state_survives_two_lost_disks_after_a_repair(self):
         cluster = await self.cluster()
-        await self.lead_with(cluster, cluster.addresses[4])
+        await self.make_leader(cluster, cluster.addresses[4])
         first = cluster.seeds[0]
         await cluster.crash(first)
         await cluster.boot(first, MemoryDisk())
@@ -178,16 +194,16 @@
         await cluster.wait_for_voters(cluster.addresses)
         self.assertEqual(2, await cluster.get(cluster.client(), "b"))
 
-    async def test_a_vm_at_another_address_takes_the_place_of_a_lost_one(self):
+    async def test_a_vm_at_another_address_replaces_a_lost_one(self):
         cluster = await self.cluster()
-        await self.lead_with(cluster, cluster.addresses[4])
+        await self.make_leader(cluster, cluster.addresses[4])
         await cluster.crash(cluster.seeds[1])
         new = "10.0.0.9:7000"
         await cluster.boot(new, MemoryDisk())
         kept = [a for a in cluster.addresses if a != cluster.seeds[1]]
         await cluster.wait_for_voters([*kept, new])
 
-    async def test_a_replaced_vm_that_returns_with_its_disk_learns_again(self):
+    async def test_a_replaced_vm_that_returns_with_its_disk_rejoins_as_a_learner(self):
         cluster = await self.cluster()
         old = cluster.seeds[1]
         cluster.network.isolate(old)
--- a/tests/test_control_replication.py
+++ b/tests/test_control_replication.py
@@ -1,4 +1,4 @@
-"""Tests of elections, commits and reads under faults."""
+"""Tests of elections, replication, leases and clocks under faults."""
 
 import asyncio
 
@@ -43,11 +43,11 @@
             client = cluster.client()
             await cluster.put(client, "a", 1)
             await cluster.timer.advance(seed / 10)
-            began_s = cluster.timer.now_s()
+            started_s = cluster.timer.now_s()
             leader = await cluster.leader()
             await cluster.crash(cluster.address_of(leader))
             await cluster.put(client, "a", 2)
-            self.assertLess(cluster.timer.now_s() - began_s, 3.0)
+            self.assertLess(cluster.timer.now_s() - started_s, 3.0)
 
     async def test_a_returning_replica_does_not_disturb_the_leader(self):
         cluster = await self.start()
@@ -76,7 +76,7 @@
         handler = cluster.network.find(address).handlers["/control/vote"]
         return from_message(VoteResponse, await handler(to_message(request)))
 
-    async def test_no_vote_is_given_while_a_lease_may_run(self):
+    async def test_no_vote_is_granted_while_a_lease_may_be_valid(self):
         cluster = await self.start()
         address = cluster.followers()[0]
         core = cluster.replicas[address].core
@@ -88,7 +88,7 @@
         answer = await self.ask_vote(cluster, address)
         self.assertTrue(answer.granted)
 
-    async def test_a_restarted_replica_votes_for_nobody_while_a_lease_may_run(self):
+    async def test_a_restarted_replica_grants_no_vote_while_a_lease_may_be_valid(self):
         cluster = await self.start()
         address = cluster.followers()[0]
         cluster.network.isolate(address)
@@ -98,7 +98,7 @@
         answer = await self.ask_vote(cluster, address)
         self.assertFalse(answer.granted)
 
-    async def test_a_vote_is_not_given_twice_in_a_term_over_a_restart(self):
+    async def test_a_replica_votes_once_per_term_across_a_restart(self):
         cluster = await self.start()
         address = cluster.followers()[0]
         answer = await self.ask_vote(cluster, address, transfer=True)
@@ -110,11 +110,13 @@
             )
             self.assertEqual(candidate == "x", answer.granted)
 
-    async def test_an_entry_that_is_synced_after_a_vote_is_not_acknowledged(self):
+    async def test_an_entry_synced_after_a_vote_in_a_newer_term_is_not_acknowledged(
+        self,
+    ):
         cluster = await self.start()
         address = cluster.followers()[0]
         await cluster.crash(address)
-        disk = HeldDisk(cluster.disks[address])
+        disk = BlockingDisk(cluster.disks[address])
         core = (await cluster.boot(address, disk)).core
         await cluster.timer.advance(1.0)
         cluster.network.isolate(address)
@@ -131,17 +133,19 @@
             commit_index=0,
             rows=[entry.to_row()],
         )
-        disk.held = asyncio.Event()
+        disk.sync_released = asyncio.Event()
         append = cluster.network.find(address).handlers["/control/append"]
         task = asyncio.ensure_future(append(to_message(request)))
         await cluster.timer.advance(0.1)
         self.assertTrue((await self.ask_vote(cluster, address, transfer=True)).granted)
         self.assertFalse(task.done())
-        disk.held.set()
+        disk.sync_released.set()
         await cluster.timer.advance(0.1)
         self.assertFalse(from_message(AppendResponse, await task).success)
 
-    async def test_entries_of_earlier_terms_are_not_committed_by_counting(self):
+    async def test_entries_of_earlier_terms_are_not_committed_by_counting_replicas(
+        self,
+    ):
         cluster = await self.start()
         leader = await cluster.leader()
         cluster.network.isolate(cluster.address_of(leader))
@@ -161,21 +165,21 @@
         await task
 
 
-class HeldDisk(MemoryDisk):
-    """A memory disk whose syncs of the log wait for an event."""
+class BlockingDisk(MemoryDisk):
+    """A memory disk whose log syncs wait for an event."""
 
     def __init__(self, disk):
         super().__init__({name: disk.read(name) for name in disk.names()})
-        self.held = None
+        self.sync_released = None
 
     async def sync(self, name):
-        if self.held is not None and name.startswith("log-"):
-            await self.held.wait()
+        if self.sync_released is not None and name.startswith("log-"):
+            await self.sync_released.wait()
         await super().sync(name)
 
 
 class PartitionTest(ClusterTestCase):
-    async def test_a_cut_off_leader_steps_down_and_accepts_nothing(self):
+    async def test_an_isolated_leader_steps_down_and_commits_nothing(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -214,18 +218,18 @@
                 holders = [x for x in leaderships if x and x.holds_lease()]
                 self.assertLessEqual(len(holders), 1)
 
-    async def test_a_batch_that_outlives_the_leadership_is_not_appended(self):
+    async def test_a_proposal_after_the_end_of_the_leadership_is_not_appended(self):
         cluster = await self.start()
         leader = await cluster.leader()
         leadership, log = leader.core.leadership, leader.core.log
         last_index = log.last_index
-        leader.core.step_down("as the test wants")
+        leader.core.step_down("injected failure")
         proposal = Proposal("test.put", {"key": "a", "value": 1}, "c", 1)
         with self.assertRaises(errors.NotLeaderError):
             await leadership.propose(proposal, 1.0)
         self.assertEqual(last_index, log.last_index)
 
-    async def test_a_leader_that_only_sends_steps_down(self):
+    async def test_a_leader_that_cannot_receive_steps_down(self):
         cluster = await self.start()
         old = await cluster.leader()
         address = cluster.address_of(old)
@@ -236,7 +240,7 @@
         others = [a for a in cluster.addresses if a != address]
         await cluster.leader(among=others)
 
-    async def test_a_leader_that_only_receives_is_replaced(self):
+    async def test_a_leader_that_cannot_send_is_replaced(self):
         cluster = await self.start()
         old = await cluster.leader()
         address = cluster.address_of(old)
@@ -247,7 +251,7 @@
         await cluster.timer.advance(3 * LEASE_S)
         self.assertFalse(old.is_leader)
 
-    async def test_a_cut_between_two_followers_changes_nothing(self):
+    async def test_a_partition_between_two_followers_has_no_effect(self):
         cluster = await self.start()
         leader = await cluster.leader()
         term = leader.core.term
@@ -277,7 +281,7 @@
 
 
 class ClockTest(ClusterTestCase):
-    async def test_a_leader_that_was_suspended_serves_no_read_from_before(self):
+    async def test_a_leader_holds_no_lease_after_a_suspension(self):
         cluster = await self.start()
         leader = await cluster.leader()
         self.assertTrue(leader.core.leadership.holds_lease())
@@ -290,14 +294,14 @@
         before = await cluster.put(client, "a", 1)
         for jump_s in (86_400.0, -86_400.0 * 365):
             cluster.timer.wall_offset_s += jump_s
-            began_s = cluster.timer.now_s()
+            started_s = cluster.timer.now_s()
             after = await cluster.put(client, "a", 2)
             passed_s = after["time_s"] - before["time_s"]
             self.assertGreaterEqual(passed_s, 0.0)
-            self.assertLess(passed_s, 1.0 + cluster.timer.now_s() - began_s)
+            self.assertLess(passed_s, 1.0 + cluster.timer.now_s() - started_s)
             before = after
 
-    async def test_the_time_of_entries_goes_on_over_leaders(self):
+    async def test_the_time_of_entries_continues_across_leaders(self):
         cluster = await self.start()
         client = cluster.client()
         times = []
@@ -310,7 +314,7 @@
         self.assertEqual(sorted(times), times)
         self.assertGreater(times[-1] - times[0], 30.0)
 
-    async def test_reads_and_writes_go_on_after_every_clock_has_jumped(self):
+    async def test_reads_and_writes_continue_after_all_clocks_jumped(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
--- a/tests/test_control_storage.py
+++ b/tests/test_control_storage.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's log and files under crashes and damage."""
+"""Tests of a replica's log and files under crashes, corruption and full disks."""
 
 import asyncio
 import unittest
@@ -21,23 +21,29 @@
 
 
 class Writer:
-    """Writes a session to a storage and notes what it may rely on."""
+    """Runs a sequence of writes; records what a crash must keep and must not revive.
+
+    Attributes:
+      acknowledged: term by index of the entries that must survive.
+      truncated: (index, term) of the entries that must not come back.
+      metadata: the last acknowledged metadata.
+    """
 
     def __init__(self, disk):
         self.storage = ReplicaStorage(disk, SEGMENT_BYTES)
-        self.must = {}
-        self.forbidden = set()
+        self.acknowledged = {}
+        self.truncated = set()
         self.metadata = None
 
     async def run(self):
         await self.storage.load()
         task = asyncio.ensure_future(self.storage.log.run())
         try:
-            await self.session()
+            await self.run_writes()
         finally:
             task.cancel()
 
-    async def session(self):
+    async def run_writes(self):
         await self.vote(1, "a")
         await self.snapshot(1, 1)
         await self.append(entries(1, 2, 3, 4))
@@ -64,20 +70,20 @@
     async def append(self, new):
         self.storage.log.append(new)
         await self.storage.log.wait_synced(new[-1].index)
-        self.must.update({entry.index: entry.term for entry in new})
+        self.acknowledged.update({entry.index: entry.term for entry in new})
 
     async def truncate(self, index):
-        gone = {i: t for i, t in self.must.items() if i >= index}
-        for key in gone:
-            del self.must[key]
+        removed = {i: t for i, t in self.acknowledged.items() if i >= index}
+        for key in removed:
+            del self.acknowledged[key]
         await self.storage.log.truncate_from(index)
-        self.forbidden.update(gone.items())
+        self.truncated.update(removed.items())
 
     async def snapshot(self, index, term):
         snapshot = Snapshot(index, term, 0.0, "c", VOTERS)
         await self.storage.save_snapshot(snapshot.to_text(), snapshot.header())
-        self.must = {i: t for i, t in self.must.items() if i > index}
-        self.must[index] = term
+        self.acknowledged = {i: t for i, t in self.acknowledged.items() if i > index}
+        self.acknowledged[index] = term
         if self.storage.log.term_at(index) != term:
             await self.storage.log.reset(index, term)
 
@@ -97,14 +103,14 @@
                 self.assertEqual(writer.metadata, storage.metadata)
         log = storage.log
         base = storage.snapshot_header.index if storage.snapshot_header else 0
-        for index, term in writer.must.items():
+        for index, term in writer.acknowledged.items():
             if index > base:
                 self.assertEqual(term, log.term_at(index), f"entry {index}")
-        for index, term in writer.forbidden:
+        for index, term in writer.truncated:
             if index > base and index <= log.last_index:
                 self.assertNotEqual(term, log.term_at(index), f"entry {index}")
 
-    async def test_a_crash_at_every_write_boundary_keeps_what_was_acknowledged(self):
+    async def test_a_crash_at_every_write_boundary_keeps_acknowledged_data(self):
         boundaries = await self.count_boundaries()
         self.assertGreater(boundaries, 50)
         for boundary in range(1, boundaries + 1):
@@ -117,7 +123,7 @@
                         await writer.run()
                     await self.check_after_crash(writer, disk.crash(seed))
 
-    async def test_a_crash_during_the_recovery_from_a_crash_is_survived(self):
+    async def test_a_crash_during_recovery_is_survived(self):
         boundaries = await self.count_boundaries()
         for boundary in range(1, boundaries + 1):
             disk = MemoryDisk()
@@ -148,7 +154,7 @@
                 data += encode_record(payload, len(data), start)
         return bytearray(data)
 
-    def test_a_torn_tail_is_cut_at_every_length(self):
+    def test_a_torn_tail_of_any_length_is_dropped(self):
         data = bytes(self.batches(2, 2))
         whole = read_records("log", data, may_be_torn=True)
         for size in range(whole[2].offset, len(data)):
@@ -156,7 +162,7 @@
             ends = [r.end for r in whole if r.end <= size]
             self.assertEqual(len(ends), len(records))
 
-    def test_a_hole_in_the_last_batch_is_cut_with_all_behind_it(self):
+    def test_a_hole_in_the_last_batch_is_dropped_with_all_later_records(self):
         data = self.batches(2, 3)
         whole = read_records("log", bytes(data), may_be_torn=True)
         hole = whole[3]
@@ -164,33 +170,33 @@
         records = read_records("log", bytes(data), may_be_torn=True)
         self.assertEqual(whole[:3], records)
 
-    def test_any_damaged_byte_before_the_last_batch_is_refused_with_its_place(self):
+    def test_any_damaged_byte_before_the_last_batch_is_reported_with_its_offset(self):
         data = bytes(self.batches(2, 1, 1))
         whole = read_records("log", data, may_be_torn=True)
         for position in range(whole[2].end):
             damaged = bytearray(data)
             damaged[position] ^= 0x40
-            place = max(r.offset for r in whole if r.offset <= position)
+            expected_offset = max(r.offset for r in whole if r.offset <= position)
             with self.assertRaisesRegex(
-                errors.StorageCorruptError, f"log-7: .* offset {place}$"
+                errors.StorageCorruptError, f"log-7: .* offset {expected_offset}$"
             ):
                 read_records("log-7", bytes(damaged), may_be_torn=True)
 
-    def test_a_record_at_another_place_is_not_taken(self):
+    def test_a_record_at_another_offset_is_refused(self):
         first = encode_record(b"one", 0, 0)
         with self.assertRaises(errors.StorageCorruptError):
             read_records("log", first + first, may_be_torn=False)
 
 
 class DamageTest(unittest.IsolatedAsyncioTestCase):
-    async def written(self):
+    async def written_disk(self):
         disk = MemoryDisk()
         writer = Writer(disk)
         await writer.run()
         return disk.crash()
 
-    async def test_a_damaged_middle_is_refused(self):
-        disk = await self.written()
+    async def test_damage_before_the_last_batch_is_refused(self):
+        disk = await self.written_disk()
         name = next(name for name in disk.names() if name.startswith("log-"))
         disk.corrupt(name, 20)
         with self.assertRaisesRegex(errors.StorageCorruptError, f"{name}: .*offset 0"):
@@ -198,21 +204,21 @@
 
     async def test_damaged_metadata_and_snapshots_are_refused(self):
         for name in ("metadata", "snapshot"):
-            disk = await self.written()
+            disk = await self.written_disk()
             disk.corrupt(name, 30)
             with self.assertRaisesRegex(errors.StorageCorruptError, name):
                 await ReplicaStorage(disk, SEGMENT_BYTES).load()
 
     async def test_a_missing_file_is_refused(self):
         for name in ("metadata", "snapshot"):
-            disk = await self.written()
+            disk = await self.written_disk()
             await disk.remove(name)
             with self.assertRaisesRegex(errors.StorageCorruptError, name):
                 await ReplicaStorage(disk, SEGMENT_BYTES).load()
 
 
 class DiskFullTest(unittest.IsolatedAsyncioTestCase):
-    async def test_entries_refused_by_a_full_disk_are_written_later(self):
+    async def test_entries_refused_by_a_full_disk_are_written_once_there_is_space(self):
         disk = MemoryDisk()
         storage = ReplicaStorage(disk, SEGMENT_BYTES)
         await storage.load()
@@ -256,7 +262,7 @@
 
 
 class SlowDisk(MemoryDisk):
-    """A memory disk whose syncs take a few turns of the loop."""
+    """A memory disk whose syncs take several iterations of the event loop."""
 
     async def sync(self, name):
         for _ in range(5):
--- a/tests/test_control_voters.py
+++ b/tests/test_control_voters.py
@@ -1,4 +1,4 @@
-"""Tests of the first start, lost disks and changes of voters."""
+"""Tests of cluster creation, lost disks and membership changes."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class BootstrapTest(ClusterTestCase):
-    async def test_a_cluster_begins_only_when_all_its_replicas_are_there(self):
+    async def test_a_cluster_is_created_only_when_all_replicas_respond(self):
         cluster = Cluster()
         self.addAsyncCleanup(cluster.close)
         await cluster.boot(cluster.addresses[0], MemoryDisk())
@@ -23,7 +23,7 @@
         clusters = {replica.core.cluster for replica in cluster.replicas.values()}
         self.assertEqual(1, len(clusters))
 
-    async def test_replicas_with_different_lists_do_not_begin(self):
+    async def test_replicas_with_different_address_lists_create_no_cluster(self):
         cluster = Cluster()
         self.addAsyncCleanup(cluster.close)
         await cluster.boot(cluster.addresses[0], MemoryDisk())
@@ -33,7 +33,7 @@
         await cluster.timer.advance(30.0)
         self.assertFalse(any(r.core.cluster for r in cluster.replicas.values()))
 
-    async def test_a_crash_at_any_write_of_the_first_start_leaves_one_cluster(self):
+    async def test_a_crash_at_any_write_of_the_first_start_results_in_one_cluster(self):
         for boundary in range(1, 12):
             cluster = Cluster(seed=boundary)
             self.addAsyncCleanup(cluster.close)
@@ -52,7 +52,7 @@
             clusters = {r.core.cluster for r in cluster.replicas.values()}
             self.assertEqual(1, len(clusters), f"boundary {boundary}")
 
-    async def test_replicas_with_lost_disks_do_not_begin_a_new_cluster(self):
+    async def test_replicas_with_lost_disks_do_not_create_a_new_cluster(self):
         cluster = await self.start()
         await cluster.put(cluster.client(), "a", 1)
         lost = cluster.addresses[:2]
@@ -61,7 +61,8 @@
         for address in lost:
             await cluster.boot(address, MemoryDisk())
         await cluster.timer.advance(60.0)
-        # The last leader may still have sent one its state, as to a learner.
+        # The last leader may have admitted one as a learner and sent its state
+        # before it stepped down.
         existing = cluster.replicas[cluster.addresses[2]].core.cluster
         for address in lost:
             replica = cluster.replicas[address]
@@ -71,7 +72,7 @@
 
 
 class LostDiskTest(ClusterTestCase):
-    async def test_it_comes_back_as_a_learner_under_a_new_identity(self):
+    async def test_a_replica_rejoins_as_a_learner_with_a_new_identity(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -87,7 +88,7 @@
         self.assertEqual(0, status.spare_voters)
         self.assertEqual(4, len(status.replicas))
 
-    async def test_it_gives_no_vote_in_the_name_of_the_lost_one(self):
+    async def test_a_replica_does_not_vote_in_place_of_its_lost_identity(self):
         cluster = await self.start()
         await cluster.put(cluster.client(), "a", 1)
         first, second = cluster.followers()
@@ -100,7 +101,7 @@
         self.assertFalse(cluster.replicas[second].is_leader)
         self.assertFalse(cluster.replicas[first].is_leader)
 
-    async def test_a_repair_is_done_when_one_more_may_be_lost(self):
+    async def test_a_replacement_is_done_when_one_more_voter_may_be_lost(self):
         cluster = await self.start()
         client = cluster.client()
         await cluster.put(client, "a", 1)
@@ -117,9 +118,9 @@
         self.assertTrue(again.done)
         self.assertEqual(3, sum(r.voter for r in again.status.replicas))
 
-    async def test_a_second_loss_right_after_a_repair_is_survived(self):
-        for victim in ("leader", "repaired", "other"):
-            with self.subTest(victim=victim):
+    async def test_a_second_loss_right_after_a_replacement_is_survived(self):
+        for lost_replica in ("leader", "repaired", "other"):
+            with self.subTest(lost_replica=lost_replica):
                 cluster = await self.start()
                 client = cluster.client()
                 await cluster.put(client, "a", 1)
@@ -131,12 +132,12 @@
                 result = await cluster.run(operations.replace(identity, lost))
                 self.assertTrue(result.done)
                 leader = cluster.address_of(await cluster.leader())
-                victims = {"leader": leader, "repaired": lost, "other": other}
-                await cluster.crash(victims[victim])
+                lost_addresses = {"leader": leader, "repaired": lost, "other": other}
+                await cluster.crash(lost_addresses[lost_replica])
                 await cluster.put(client, "a", 2)
                 self.assertEqual(2, await cluster.get(client, "a"))
 
-    async def test_a_loss_of_the_new_replica_during_a_repair_does_no_harm(self):
+    async def test_a_loss_of_the_new_replica_during_a_replacement_is_harmless(self):
         cluster = await self.start()
         client = cluster.client()
         lost = cluster.followers()[0]
@@ -209,7 +210,7 @@
         with self.assertRaises(errors.EndivesillError):
             await cluster.run(operations.remove("10.0.0.77:7000"))
 
-    async def test_the_last_voter_stays(self):
+    async def test_the_last_voter_cannot_be_removed(self):
         cluster = await self.start(1)
         operations = VoterOperations(cluster.client())
         with self.assertRaisesRegex(errors.UnsafeChangeError, "last voter"):
@@ -217,15 +218,15 @@
 
     async def test_no_random_sequence_of_commands_loses_the_quorum(self):
         for seed in range(6):
-            chooser = random.Random(seed)
+            rng = random.Random(seed)
             cluster = await self.start(seed=seed)
             client = cluster.client()
             operations = VoterOperations(client)
             for number in range(4, 6):
                 await self.grow(cluster, f"10.0.0.{number}:7000")
             for step in range(12):
-                one, two = chooser.sample(cluster.addresses, 2)
-                name, arguments = chooser.choice(
+                one, two = rng.sample(cluster.addresses, 2)
+                name, arguments = rng.choice(
                     (("add", (one,)), ("remove", (one,)), ("replace", (one, two)))
                 )
                 with contextlib.suppress(errors.EndivesillError):
