--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -1,4 +1,4 @@
-"""A whole entry on loopback, with stand-ins and scripted targets behind it."""
+"""Entries on loopback with stand-in and scripted targets."""
 
 import asyncio
 import contextlib
@@ -20,13 +20,13 @@
 from endivesill.server import HttpServer
 from endivesill.timer import SystemTimer
 
-# Killed servers report each request that was cut.
+# Killed servers log an error for each aborted request.
 logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
 
 KEY = {"Authorization": "Bearer test-key"}
 OTHER_KEY = {"Authorization": "Bearer other-key"}
 PEER_KEYS = KeyRing(["a-peer-key-for-tests"])
-FAST = EntrySettings(
+FAST_SETTINGS = EntrySettings(
     stall_s=0.2, resume_backoff_s=0.01, resume_attempts=3, resume_window_s=0.2
 )
 
@@ -38,7 +38,7 @@
             "protocol": "engine",
             "deadline_s": 3.0,
             "gap_target_ms": 20,
-            # Ties go by name, so that a test knows which target is used first.
+            # Breaks ties by name, so that tests know which target is used first.
             "routing_policy": "least-outstanding",
         },
         "service/app": {
@@ -54,7 +54,7 @@
 
 
 class Fleet:
-    """Entries over one control state, with targets by name."""
+    """Entries that share one control state, with targets by name."""
 
     def __init__(self):
         self.timer = SystemTimer()
@@ -72,7 +72,7 @@
         self.accepting = True
 
     def configure(self, **changes):
-        """Merge documents by key (with / for __) and put them in force."""
+        """Merge documents by key (`__` stands for `/`) and apply them."""
         for key, document in changes.items():
             key = key.replace("__", "/")
             self.documents[key] = {**self.documents.get(key, {}), **document}
@@ -99,7 +99,7 @@
         self.add_target(name, "app", server.address)
         return plain
 
-    async def add_entry(self, settings=FAST, **options):
+    async def add_entry(self, settings=FAST_SETTINGS, **options):
         kernel = Kernel(self.timer)
         kernel.add("control", self.control)
         kernel.add("router", Router(self.timer, self.source.current))
@@ -122,13 +122,13 @@
         return f"http://{entry.address}"
 
     async def stop(self):
-        cut = [*self.entries, *self.servers.values()]
-        await asyncio.gather(*(each.kill() for each in cut))
+        running = [*self.entries, *self.servers.values()]
+        await asyncio.gather(*(each.kill() for each in running))
         await asyncio.gather(*(kernel.stop() for kernel in self.kernels))
 
 
 class FleetTestCase:
-    """Mixin: a fleet and a caller's session for each test."""
+    """Mixin: a fleet and a client session for each test."""
 
     async def asyncSetUp(self):
         self.fleet = Fleet()
@@ -139,7 +139,7 @@
         await self.fleet.stop()
 
     async def stream(self, url, headers=KEY, **body):
-        """Return status and text of a streamed generation."""
+        """Return the response and text of a streamed generation."""
         document = {"model": "llm", "prompt": "plan", "stream": True, **body}
         async with self.session.post(
             f"{url}/v1/completions", json=document, headers=headers
@@ -147,7 +147,7 @@
             return response, await response.text()
 
     async def post(self, url, data=b"x", **headers):
-        """Return an answer and its JSON document, if it is one."""
+        """Return a response and its body, parsed if it is JSON."""
         names = {name.replace("_", "-"): value for name, value in headers.items()}
         async with self.session.post(url, data=data, headers=KEY | names) as response:
             text = await response.text()
@@ -157,10 +157,10 @@
 
 
 async def until(condition, limit_s=5.0):
-    """Wait until a condition holds.
+    """Poll until a condition holds.
 
     Raises:
-      TimeoutError: it does not hold within the limit.
+      TimeoutError: the condition does not hold within the limit.
     """
     async with asyncio.timeout(limit_s):
         while not condition():  # noqa: ASYNC110
@@ -168,7 +168,7 @@
 
 
 def words(text):
-    """Return the words of a stream's tokens, in order."""
+    """Return the token texts of a stream, in order."""
     found = []
     for event in text.split("\n\n"):
         if event.startswith("id: "):
@@ -182,16 +182,16 @@
 
 
 def last_id(text):
-    """Return the id of the last whole event of a stream."""
+    """Return the id of the last complete event of a stream."""
     ids = [e[4:].split("\n")[0] for e in text.split("\n\n") if e.startswith("id: ")]
     return ids[-1]
 
 
 class ScriptedTarget:
-    """A raw TCP target that runs one script for each connection.
+    """A raw TCP target that runs one script per connection.
 
-    A script is an async function of reader, writer and the request (head and
-    body bytes); `ran` counts the requests that arrived whole.
+    A script is an async function of target, reader and writer; `ran` lists the
+    request lines of the requests that arrived completely.
     """
 
     def __init__(self, *scripts):
@@ -232,15 +232,15 @@
 
     @property
     def starts(self):
-        """The requests that were not cancels."""
+        """The request lines other than cancellations."""
         return [line for line in self.ran if "/cancel" not in line]
 
 
 class ScriptedEngine(ScriptedTarget):
-    """Scripted target with the answers of an engine.
+    """Scripted target that responds like an engine.
 
-    A script is an async function of engine, writer, request line and headers; a
-    cancel is answered by the engine itself.
+    A script is an async function of engine, writer, request line and headers.
+    Cancellations are handled without a script.
     """
 
     async def _serve(self, reader, writer):
@@ -285,15 +285,15 @@
 
 
 def generation_of(line):
-    """Return generation id and first index of a resume's request line."""
+    """Return the generation id and first index of the request line of a resume."""
     path = line.split(" ")[1]
     return path.split("/")[3], int(path.split("from=")[1])
 
 
 def serving(first, end, then=None):
-    """Return a script that streams tokens and ends, breaks or falls silent.
+    """Return a script that streams tokens and then ends, or runs `then`.
 
-    With no first token it streams from the one that the resume asks for.
+    If `first` is None, it starts at the token that the resume requests.
     """
 
     async def script(engine, writer, line, headers):
@@ -312,23 +312,23 @@
 
 
 async def breaking(engine, writer, generation_id):
-    """Leave half an event behind and close."""
+    """Send half an event and close the connection."""
     half = engine.event(generation_id, 99)[:20]
     engine.chunk(writer, half)
 
 
 async def silent(engine, writer, generation_id):
-    """Keep the connection open and say nothing."""
+    """Keep the connection open without sending anything."""
     await writer.drain()
     await asyncio.sleep(5)
 
 
 async def dying(engine, writer, line, headers):
-    """Close without an answer."""
+    """Close the connection without a response."""
 
 
 def answering(status, *headers):
-    """Return a script that answers with an empty body."""
+    """Return a script that responds with a status and an empty body."""
 
     async def script(engine, writer, line, request_headers):
         lines = [f"HTTP/1.1 {status} X", *headers, "Content-Length: 0", "", ""]
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -1,8 +1,7 @@
-"""One request in which somebody dies at a chosen moment.
+"""One request during which a process fails at a chosen moment.
 
-A `MomentTarget` speaks for a plain service and for an engine. It stands still at
-one moment of its first exchange, and goes on once the death has been brought
-about.
+A `PausingTarget` acts as a plain service and as an engine. It pauses at one moment
+of its first exchange and resumes after the failure has been injected.
 """
 
 import asyncio
@@ -41,13 +40,13 @@
 )
 
 
-class MomentTarget:
-    """A target that stands still at one moment of its first exchange."""
+class PausingTarget:
+    """A target that pauses at one moment of its first exchange."""
 
     def __init__(self, moment):
         self.moment = moment
-        self.reached = asyncio.Event()
-        self.go = asyncio.Event()
+        self.paused = asyncio.Event()
+        self.resume = asyncio.Event()
         self.runs = 0
         self.cancels = 0
         self.delivered = 0
@@ -69,12 +68,12 @@
             writer.transport.abort()
 
     async def _pause(self, moment):
-        if moment == self.moment and not self.reached.is_set():
-            self.reached.set()
-            await self.go.wait()
+        if moment == self.moment and not self.paused.is_set():
+            self.paused.set()
+            await self.resume.wait()
 
-    def has_arrived(self):
-        """Tell whether the rest of the first request waits to be read."""
+    def has_buffered_body(self):
+        """Return whether the rest of the first request is buffered unread."""
         return len(self.reader._buffer) >= BODY_BYTES // 2
 
     async def _serve(self, reader, writer):
@@ -106,10 +105,10 @@
             await self._generate(line, headers, writer)
         else:
             self.runs += 1
-            await self._answer(writer)
+            await self._respond(writer)
         await writer.drain()
 
-    async def _answer(self, writer):
+    async def _respond(self, writer):
         await self._pause("before the first byte")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         ScriptedEngine.chunk(writer, b"half ")
@@ -144,46 +143,46 @@
 
 @attrs.define
 class Row:
-    """What came of one request."""
+    """The outcome of one request."""
 
     actor: str
     moment: str
     kind: str
     ran: str
-    told: str
-    true: bool
+    reported: str
+    consistent: bool
 
     def line(self):
-        truth = "true" if self.true else "FALSE"
-        columns = (self.actor, self.moment, self.kind, self.ran, self.told)
+        truth = "true" if self.consistent else "FALSE"
+        columns = (self.actor, self.moment, self.kind, self.ran, self.reported)
         widths = (7, 22, 15, 26, 64)
         cells = [c.ljust(w) for c, w in zip(columns, widths, strict=True)]
         return " | ".join([*cells, truth])
 
 
 class Scenario:
-    """One request, one death."""
+    """One request with one injected failure."""
 
     def __init__(self, actor, moment, kind):
         self.actor, self.moment, self.kind = actor, moment, kind
         self.fleet = Fleet()
-        self.first, self.second = MomentTarget(moment), MomentTarget("never")
+        self.first, self.second = PausingTarget(moment), PausingTarget("never")
         self.session = None
         self.stream_text = ""
-        self.homeless = False
-        self.at_router = asyncio.Event()
-        self.router_go = asyncio.Event()
+        self.grant_is_revoked = False
+        self.router_paused = asyncio.Event()
+        self.router_resume = asyncio.Event()
 
     async def run(self):
         async with aiohttp.ClientSession() as self.session:
             urls = await self._set_up()
             try:
                 async with asyncio.timeout(LIMIT_S):
-                    told = await self._play(urls)
-                return self._row(told)
+                    reported = await self._execute(urls)
+                return self._row(reported)
             finally:
-                self.first.go.set()
-                self.router_go.set()
+                self.first.resume.set()
+                self.router_resume.set()
                 for target in (self.first, self.second):
                     target.server.close()
                 await self.fleet.stop()
@@ -198,9 +197,11 @@
         urls = []
         for _ in range(2):
             urls.append(
-                await self.fleet.add_entry(SETTINGS, is_gone=lambda name: self._killed)
+                await self.fleet.add_entry(
+                    SETTINGS, is_gone=lambda name: self._entry_killed
+                )
             )
-        self._killed = False
+        self._entry_killed = False
         self._hook_router(self.fleet.kernels[0])
         return urls
 
@@ -208,35 +209,35 @@
         router = kernel._services["router"]
         acquire = router.acquire
 
-        async def hooked(request):
+        async def acquire_and_pause(request):
             grant = await acquire(request)
-            grant.may_start = lambda: not self.homeless
-            if self.moment == "before connect" and not self.at_router.is_set():
-                self.at_router.set()
-                await self.router_go.wait()
+            grant.may_start = lambda: not self.grant_is_revoked
+            if self.moment == "before connect" and not self.router_paused.is_set():
+                self.router_paused.set()
+                await self.router_resume.wait()
             return grant
 
-        router.acquire = hooked
+        router.acquire = acquire_and_pause
 
-    async def _play(self, urls):
+    async def _execute(self, urls):
         request = asyncio.ensure_future(self._request(urls[0]))
         if self.moment == "before connect":
-            await self.at_router.wait()
+            await self.router_paused.wait()
         else:
-            await self.first.reached.wait()
+            await self.first.paused.wait()
         if self.moment in ("after connect", "mid-body"):
-            await until(self.first.has_arrived)
+            await until(self.first.has_buffered_body)
         await until(lambda: self._has_received(self.moment))
-        await self._bring_about(request)
-        self.router_go.set()
-        self.first.go.set()
-        told = await self._told(request)
+        await self._inject_failure(request)
+        self.router_resume.set()
+        self.first.resume.set()
+        reported = await self._result_of(request)
         if self.actor == "entry":
-            told += "; then " + await self._come_back(urls[1])
+            reported += "; then " + await self._retry(urls[1])
         if self.actor == "caller" and self.kind == "with a key":
-            told += "; then " + await self._come_back(urls[1])
-        await self._until_quiet()
-        return told
+            reported += "; then " + await self._retry(urls[1])
+        await self._wait_until_idle()
+        return reported
 
     def _has_received(self, moment):
         if moment not in ("mid-answer", "after the last token"):
@@ -246,8 +247,8 @@
             return len(words(self.stream_text)) == share * TOKENS // 2
         return len(self.stream_text) == share * len("whole")
 
-    async def _until_quiet(self):
-        """Wait until the entries have nothing left to do."""
+    async def _wait_until_idle(self):
+        """Wait until the entries and targets have no requests in progress."""
         entries = self.fleet.entries[1 if self.actor == "entry" else 0 :]
         await until(lambda: not any(e.application.running for e in entries))
         if self.actor == "entry":
@@ -256,21 +257,21 @@
             sent = self.moment != "before connect"
             await until(lambda: self.first.cancels == sent)
 
-    async def _bring_about(self, request):
+    async def _inject_failure(self, request):
         if self.actor == "target":
             self.first.die()
         elif self.actor == "entry":
-            self._killed = True
+            self._entry_killed = True
             await self.fleet.entries[0].kill()
         elif self.actor == "home":
-            self.homeless = True
+            self.grant_is_revoked = True
         else:
             request.cancel()
             await asyncio.sleep(0)
             if self.kind == "generation":
                 await until(lambda: not self.fleet.entries[0].application.running)
 
-    async def _told(self, request):
+    async def _result_of(self, request):
         try:
             return await request
         except asyncio.CancelledError:
@@ -315,8 +316,8 @@
         replayed = response.headers.get("Idempotency-Replayed")
         return "the stored answer" if replayed else "the whole answer"
 
-    async def _come_back(self, url):
-        """Do what a caller does whose connection broke."""
+    async def _retry(self, url):
+        """Retry or reconnect like a caller whose connection broke."""
         if self.kind == "non-repeatable":
             return "it cannot repeat"
         headers = {}
@@ -324,23 +325,30 @@
             headers["Last-Event-ID"] = last_id(self.stream_text)
         else:
             self.stream_text = ""
-        told = await self._told(asyncio.ensure_future(self._request(url, **headers)))
-        if self.kind == "generation" and told == "the whole answer":
+        reported = await self._result_of(
+            asyncio.ensure_future(self._request(url, **headers))
+        )
+        if self.kind == "generation" and reported == "the whole answer":
             assert words(self.stream_text) == [f"w{i} " for i in range(TOKENS)]
-        return told
+        return reported
 
-    def _row(self, told):
+    def _row(self, reported):
         runs = self.first.runs + self.second.runs
         ran = f"{self.first.runs} at a, {self.second.runs} at b"
         if self.first.cancels or self.second.cancels:
             ran += ", cancelled"
         return Row(
-            self.actor, self.moment, self.kind, ran, told, self._is_true(told, runs)
+            self.actor,
+            self.moment,
+            self.kind,
+            ran,
+            reported,
+            self._is_consistent(reported, runs),
         )
 
-    def _is_true(self, told, runs):
+    def _is_consistent(self, reported, runs):
         if self.kind in ("non-repeatable", "with a key") and runs > 1:
             return False
-        if "run=not-run" in told and runs:
+        if "run=not-run" in reported and runs:
             return False
-        return not ("answer" in told and not runs)
+        return not ("answer" in reported and not runs)
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions as text: requests, log lines and answers, normalised."""
+"""Complete sessions as normalised text: requests, log events and responses."""
 
 import json
 import os
@@ -26,7 +26,7 @@
 
 
 class Normaliser:
-    """Replaces ids by their order of appearance, and ports and times by marks."""
+    """Replaces ids by numbered placeholders, and addresses and times by fixed ones."""
 
     def __init__(self):
         self._names = {}
@@ -37,16 +37,16 @@
         text = ADDRESS.sub("<address>", text)
         return SECONDS.sub(r"\1\2<time>", text)
 
-    def _name(self, found):
-        if found not in self._names:
-            kind = {48: "generation", 40: "key", 32: "id"}[len(found)]
+    def _name(self, hex_id):
+        if hex_id not in self._names:
+            kind = {48: "generation", 40: "key", 32: "id"}[len(hex_id)]
             self._counts[kind] = self._counts.get(kind, 0) + 1
-            self._names[found] = f"<{kind}-{self._counts[kind]}>"
-        return self._names[found]
+            self._names[hex_id] = f"<{kind}-{self._counts[kind]}>"
+        return self._names[hex_id]
 
 
 class SessionTestCase(FleetTestCase):
-    """Mixin: plays a session and compares it with its golden file."""
+    """Mixin: runs a session and compares it with its golden file."""
 
     maxDiff = None
     golden = ""
@@ -56,7 +56,7 @@
 
     async def test_the_session_is_as_recorded(self):
         self.lines = []
-        self.addCleanup(events.listen(self.note))
+        self.addCleanup(events.listen(self.add_log_event))
         await self.play()
         text = Normaliser().text("\n".join(self.lines) + "\n")
         path = FOLDER / f"{self.golden}.txt"
@@ -65,7 +65,7 @@
             path.write_text(text, encoding="utf-8")
         self.assertEqual(path.read_text(encoding="utf-8"), text)
 
-    def note(self, kind, fields):
+    def add_log_event(self, kind, fields):
         if "request_id" not in fields:
             return
         if kind.number in ROUTING:
@@ -73,11 +73,11 @@
         shown = " ".join(f"{key}={value}" for key, value in fields.items())
         self.lines.append(f"log {kind.number} {kind.name} {shown}".rstrip())
 
-    def say(self, text):
+    def add_comment(self, text):
         self.lines.append(f"-- {text}")
 
     async def call(self, url, path, body=None, headers=KEY, method="POST"):
-        """Send a request and note it and its answer."""
+        """Send a request; record it and its response."""
         data = json.dumps(body) if isinstance(body, dict) else body
         shown = [f"{k}: {v}" for k, v in headers.items() if k != "Authorization"]
         sent = data if data is None or len(data) < 200 else f"{len(data)} bytes"
@@ -87,10 +87,10 @@
             method, f"{url}{path}", data=data, headers=headers
         ) as response:
             text = await response.text()
-        self.answer(response, text)
+        self.add_response(response, text)
         return text
 
-    def answer(self, response, text):
+    def add_response(self, response, text):
         shown = [
             f"{name}: {response.headers[name]}"
             for name in SHOWN_HEADERS
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path in one process, with real sockets on loopback."""
+"""End-to-end tests of an entry in one process, with sockets on loopback."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from tests.entry_fakes import KEY, FleetTestCase, numbered, until, words
 
 
-class WholePathTest(FleetTestCase, unittest.IsolatedAsyncioTestCase):
+class EndToEndTest(FleetTestCase, unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.engine = await self.fleet.add_engine()
@@ -31,7 +31,7 @@
             line = f'endivesill_entry_requests_total{{outcome="{outcome}"}} 1\n'
             self.assertIn(line, text)
 
-    async def test_a_whole_answer_joins_the_tokens(self):
+    async def test_a_buffered_response_joins_the_tokens(self):
         messages = [{"role": "user", "content": "plan"}]
         body = {"model": "llm", "messages": messages, "max_tokens": 3}
         _, document = await self.post(
@@ -46,14 +46,14 @@
         self.assertEqual("x=1&y=%20", self.plain.ran[0]["query"])
         self.assertEqual("raw", self.plain.ran[0]["body"])
 
-    async def test_a_planned_stop_ends_once_all_streams_have_ended(self):
+    async def test_a_graceful_stop_waits_for_all_streams(self):
         stream = asyncio.ensure_future(self.stream(self.url, max_tokens=200))
         await until(lambda: self.engine.starts)
         await self.fleet.kernels[0].stop()
         _, text = await stream
         self.assertEqual(numbered(200), words(text))
 
-    async def test_a_drain_ends_connections_with_their_answers(self):
+    async def test_a_draining_entry_closes_connections_after_their_responses(self):
         seen = []
         for self.fleet.draining in (False, True):
             response, _ = await self.post(f"{self.url}/app/x")
@@ -120,7 +120,7 @@
                 body,
             )
 
-    async def test_a_wrong_request_names_its_field(self):
+    async def test_an_invalid_request_names_its_field(self):
         cases = [
             (b"{", 400, "body"),
             (b"[1]", 400, "body"),
@@ -163,7 +163,7 @@
         headers = {**KEY, "X-Long": "x" * 2000}
         await self.check("/app/x", b"", 431, None, headers)
 
-    async def test_a_header_block_without_end_is_cut(self):
+    async def test_an_endless_header_block_is_refused(self):
         host, port = self.url.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /app/x HTTP/1.1\r\n" + b"X-A: " + b"x" * 70_000)
@@ -182,8 +182,8 @@
         await self.check("/app/x", chunks(), 408, "body")
 
 
-class ConcurrencyBoundTest(FleetTestCase, unittest.IsolatedAsyncioTestCase):
-    async def test_an_organisation_over_its_bound_is_told_to_come_back(self):
+class ConcurrencyLimitTest(FleetTestCase, unittest.IsolatedAsyncioTestCase):
+    async def test_an_organisation_over_its_limit_gets_a_retry_after(self):
         await self.fleet.add_engine()
         plain = await self.fleet.add_plain(delay_s=0.2)
         url = await self.fleet.add_entry()
--- a/tests/test_entry_outcomes.py
+++ b/tests/test_entry_outcomes.py
@@ -1,4 +1,4 @@
-"""The table of outcomes: who dies when, what ran, and what the caller is told."""
+"""Outcome table: which process fails when, what ran, and what the caller receives."""
 
 import asyncio
 import itertools
@@ -18,13 +18,13 @@
 class OutcomesTest(unittest.IsolatedAsyncioTestCase):
     maxDiff = None
 
-    async def test_the_table_of_outcomes_is_as_recorded_and_true(self):
+    async def test_the_outcome_table_is_as_recorded_and_consistent(self):
         cases = list(itertools.product(ACTORS, MOMENTS, KINDS))
         rows = []
         for start in range(0, len(cases), BATCH):
             batch = [Scenario(*case).run() for case in cases[start : start + BATCH]]
             rows += await asyncio.gather(*batch)
-        self.assertEqual([], [row.line() for row in rows if not row.true])
+        self.assertEqual([], [row.line() for row in rows if not row.consistent])
         lines = [row.line() for row in rows]
         text = "\n".join([HEADER, *(line.rstrip() for line in lines)]) + "\n"
         if os.environ.get("ENDIVESILL_WRITE_GOLDEN"):
--- a/tests/test_entry_plain.py
+++ b/tests/test_entry_plain.py
@@ -1,4 +1,4 @@
-"""Tests of plain calls: repeatable ones and those that run at most once."""
+"""Tests of plain calls: repeatable ones, and others that run at most once."""
 
 import asyncio
 import unittest
@@ -11,25 +11,25 @@
 from tests.entry_fakes import KEY, FleetTestCase, ScriptedTarget, until
 
 
-async def take_and_close(target, reader, writer):
+async def close_without_response(target, reader, writer):
     await target.read_request(reader)
 
 
-async def answer(target, reader, writer):
+async def respond(target, reader, writer):
     await target.read_request(reader)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     await writer.drain()
 
 
-async def half_an_answer(target, reader, writer):
+async def truncated_response(target, reader, writer):
     await target.read_request(reader)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf")
     await writer.drain()
 
 
 async def keep_alive_then_close(target, reader, writer):
-    """Answer the first request of a connection and drop the second."""
-    await answer(target, reader, writer)
+    """Respond to the first request of a connection, and close on the second."""
+    await respond(target, reader, writer)
     await target.read_request(reader)
 
 
@@ -43,7 +43,7 @@
 
 class RepeatableCallTest(PlainTestCase):
     async def test_a_broken_call_is_sent_again_to_another_target(self):
-        broken = await self.add_scripted(take_and_close, name="a")
+        broken = await self.add_scripted(close_without_response, name="a")
         plain = await self.fleet.add_plain("b")
         url = await self.fleet.add_entry()
         response, _ = await self.post(f"{url}/app/notes")
@@ -52,19 +52,19 @@
 
     async def test_retries_end_with_the_budget(self):
         for name in "abcd":
-            await self.add_scripted(take_and_close, name=name)
+            await self.add_scripted(close_without_response, name=name)
         url = await self.fleet.add_entry()
         response, document = await self.post(f"{url}/app/notes")
         self.assertEqual((502, "unknown"), (response.status, document["run"]))
 
-    async def test_an_answer_cut_short_is_cut_for_the_caller_too(self):
-        target = await self.add_scripted(half_an_answer)
+    async def test_a_truncated_response_is_truncated_for_the_caller_too(self):
+        target = await self.add_scripted(truncated_response)
         url = await self.fleet.add_entry()
         with self.assertRaises(Exception):  # noqa: B017
             await self.post(f"{url}/app/notes")
         self.assertEqual(1, len(target.ran))
 
-    async def test_a_large_answer_streams_through(self):
+    async def test_a_large_response_is_streamed(self):
         async def large(target, reader, writer):
             await target.read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n")
@@ -77,7 +77,7 @@
         response, text = await self.post(f"{url}/app/notes")
         self.assertEqual((200, 3_000_000), (response.status, len(text)))
 
-    async def test_an_endless_answer_ends_with_its_caller(self):
+    async def test_an_endless_response_ends_when_its_caller_disconnects(self):
         ended = asyncio.Event()
 
         async def endless(target, reader, writer):
@@ -99,7 +99,7 @@
         async with asyncio.timeout(5):
             await ended.wait()
 
-    async def test_the_callers_key_and_hop_headers_stay_behind(self):
+    async def test_the_callers_key_and_hop_by_hop_headers_are_not_forwarded(self):
         seen = {}
 
         async def look(target, reader, writer):
@@ -120,7 +120,7 @@
         return await self.post(f"{url}{path}", data, **headers)
 
     async def test_a_broken_call_is_never_sent_again(self):
-        broken = await self.add_scripted(take_and_close, answer, name="a")
+        broken = await self.add_scripted(close_without_response, respond, name="a")
         plain = await self.fleet.add_plain("b")
         url = await self.fleet.add_entry()
         for path in ("/app/bookings", "/app/%62ookings/1", "/app/x/../bookings"):
@@ -130,18 +130,18 @@
         self.assertEqual(3, len(broken.ran) + len(plain.ran))
         self.assertEqual(0, sum(call["body"] != "booking" for call in plain.ran))
 
-    async def test_a_path_is_not_repeatable_however_it_is_written(self):
+    async def test_a_path_is_non_repeatable_in_every_encoding(self):
         paths = ("/bookings", "/%62ookings/1", "//bookings", "/bookings/./1")
         for number, path in enumerate(paths):
-            broken = await self.add_scripted(take_and_close, name=f"t{number}")
+            broken = await self.add_scripted(close_without_response, name=f"t{number}")
             self.fleet.configure(service__app={"routing_policy": "least-outstanding"})
             url = await self.fleet.add_entry()
             response, _ = await self.book(url, path=f"/app{path}")
             self.assertEqual((502, 1), (response.status, len(broken.ran)), path)
             self.fleet.configure(**{f"target__t{number}": {"leaving": True}})
 
-    async def test_a_target_that_cannot_be_reached_is_passed_over(self):
-        closed = ScriptedTarget(answer)
+    async def test_an_unreachable_target_is_skipped(self):
+        closed = ScriptedTarget(respond)
         address = await closed.start()
         await closed.stop()
         self.fleet.add_target("a", "app", address)
@@ -150,7 +150,7 @@
         response, _ = await self.book(url)
         self.assertEqual((200, 1), (response.status, len(plain.ran)))
 
-    async def test_the_targets_own_word_of_not_run_is_passed_on(self):
+    async def test_a_targets_report_of_not_run_is_forwarded(self):
         plain = await self.fleet.add_plain()
         plain.refusing = True
         url = await self.fleet.add_entry()
@@ -168,12 +168,12 @@
     async def test_a_booking_sent_twice_runs_once(self):
         plain = await self.fleet.add_plain(delay_s=0.1)
         urls = [await self.fleet.add_entry() for _ in range(2)]
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(self.book(url, Idempotency_Key="k") for url in urls)
         )
         self.assertEqual(1, len(plain.ran))
-        self.assertEqual(answers[0][1], answers[1][1])
-        replays = [a[0].headers.get("Idempotency-Replayed") for a in answers]
+        self.assertEqual(responses[0][1], responses[1][1])
+        replays = [a[0].headers.get("Idempotency-Replayed") for a in responses]
         self.assertCountEqual([None, "true"], replays)
 
     async def test_a_key_used_for_another_request_is_refused(self):
@@ -185,14 +185,14 @@
         self.assertEqual(1, len(plain.ran))
 
     async def test_a_broken_call_leaves_its_key_unknown(self):
-        target = await self.add_scripted(take_and_close)
+        target = await self.add_scripted(close_without_response)
         url = await self.fleet.add_entry()
         for status in (502, 409, 409):
             response, document = await self.book(url, Idempotency_Key="k")
             self.assertEqual((status, "unknown"), (response.status, document["run"]))
         self.assertEqual(1, len(target.ran))
 
-    async def test_an_answer_that_is_no_http_leaves_its_key_unknown(self):
+    async def test_a_malformed_response_leaves_its_key_unknown(self):
         async def bad_header(target, reader, writer):
             await target.read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nX-A: \x01\r\nContent-Length: 0\r\n\r\n")
@@ -204,7 +204,7 @@
             self.assertEqual((status, "unknown"), (response.status, document["run"]))
         self.assertEqual(1, len(target.ran))
 
-    async def test_an_answer_that_cannot_be_passed_on_leaves_its_key_unknown(self):
+    async def test_a_response_that_cannot_be_forwarded_leaves_its_key_unknown(self):
         async def good(target, reader, writer):
             await target.read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -214,7 +214,7 @@
 
         async def start_and_fail(exchange, target_answer):
             await exchange._response.start(200, [])
-            raise RuntimeError("as the test wants")
+            raise RuntimeError("injected by the test")
 
         broken = mock.patch.object(PlainExchange, "_forward_response", start_and_fail)
         with broken, self.assertRaises(aiohttp.ClientError):
@@ -242,7 +242,7 @@
         self.assertEqual([], plain.ran)
         self.fleet.control.failure = None
 
-    async def test_an_outcome_that_cannot_be_recorded_still_answers(self):
+    async def test_a_response_is_sent_even_if_its_outcome_cannot_be_recorded(self):
         plain = await self.fleet.add_plain(delay_s=0.1)
         url = await self.fleet.add_entry()
         booking = asyncio.ensure_future(self.book(url, Idempotency_Key="k"))
@@ -254,7 +254,7 @@
         response, _ = await self.book(url, Idempotency_Key="k")
         self.assertEqual("true", response.headers["Idempotency-Replayed"])
 
-    async def test_an_answer_too_large_to_keep_is_not_run_again(self):
+    async def test_a_call_whose_response_is_too_large_to_store_is_not_run_again(self):
         async def large(target, reader, writer):
             await target.read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n")
--- a/tests/test_entry_server.py
+++ b/tests/test_entry_server.py
@@ -1,4 +1,4 @@
-"""Tests of the listener's own bounds."""
+"""Tests of the limits of the HTTP listener."""
 
 import asyncio
 import unittest
@@ -7,17 +7,17 @@
 from endivesill import server
 from endivesill.server import HttpServer
 
-ANSWER_BYTES = 32 << 20
+RESPONSE_BYTES = 32 << 20
 
 
-async def answer_large(scope, receive, send):
+async def respond_large(scope, receive, send):
     await send({"type": "http.response.start", "status": 200, "headers": []})
-    await send({"type": "http.response.body", "body": bytes(ANSWER_BYTES)})
+    await send({"type": "http.response.body", "body": bytes(RESPONSE_BYTES)})
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.server = HttpServer("127.0.0.1:0", answer_large)
+        self.server = HttpServer("127.0.0.1:0", respond_large)
         await self.server.start()
         host, port = self.server.address.split(":")
         self.reader, self.writer = await asyncio.open_connection(
@@ -35,21 +35,21 @@
         return total
 
     @mock.patch.object(server, "TAIL_STALL_S", 0.1)
-    async def test_an_answer_that_stays_unread_is_dropped(self):
+    async def test_a_response_that_stays_unread_is_dropped(self):
         self.writer.write(b"GET / HTTP/1.0\r\n\r\n")
         await asyncio.sleep(0.4)
         with self.assertRaises(ConnectionError):
             total = await self.read_to_end()
-            raise ConnectionError(total) if total < ANSWER_BYTES else AssertionError
+            raise ConnectionError(total) if total < RESPONSE_BYTES else AssertionError
 
     @mock.patch.object(server, "TAIL_STALL_S", 0.1)
-    async def test_a_slow_but_steady_reader_gets_all(self):
+    async def test_a_slow_but_steady_reader_receives_everything(self):
         self.writer.write(b"GET / HTTP/1.0\r\n\r\n")
         total = 0
         while data := await self.reader.read(1 << 20):
             total += len(data)
             await asyncio.sleep(0.0005)
-        self.assertGreaterEqual(total, ANSWER_BYTES)
+        self.assertGreaterEqual(total, RESPONSE_BYTES)
 
     @mock.patch.object(server, "HEADER_TIMEOUT_S", 0.05)
     async def test_a_connection_that_sends_no_request_is_closed(self):
--- a/tests/test_entry_sessions.py
+++ b/tests/test_entry_sessions.py
@@ -1,6 +1,6 @@
-"""Golden files of whole sessions, one class for each.
+"""Golden-file tests of complete sessions, one class for each.
 
-`ENDIVESILL_WRITE_GOLDEN=1` writes them anew.
+`ENDIVESILL_WRITE_GOLDEN=1` rewrites the golden files.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
         await self.call(await self.fleet.add_entry(), COMPLETIONS, PLAN)
 
 
-class WholeAnswerSession(SessionCase, unittest.IsolatedAsyncioTestCase):
+class BufferedResponseSession(SessionCase, unittest.IsolatedAsyncioTestCase):
     golden = "whole-answer"
 
     async def play(self):
@@ -65,30 +65,30 @@
     async def play(self):
         self.fleet.configure(limits__default={"body_bytes": 1024})
         url = await self.fleet.add_entry()
-        self.say("no key, then a wrong one")
+        self.add_comment("no key, then a wrong one")
         await self.call(url, COMPLETIONS, PLAN, headers={})
         await self.call(url, COMPLETIONS, PLAN, {"Authorization": "Bearer x"})
-        self.say("requests that are wrong in themselves")
+        self.add_comment("requests that are wrong in themselves")
         await self.call(url, COMPLETIONS, "{")
         await self.call(url, COMPLETIONS, {**PLAN, "model": "nil"})
         await self.call(url, COMPLETIONS, {**PLAN, "max_tokens": "3"})
         await self.call(url, COMPLETIONS, {**PLAN, "prompt": "x" * 2000})
         await self.call(url, "/nowhere", method="GET")
         await self.call(url, COMPLETIONS, PLAN, {**KEY, "Last-Event-ID": "x"})
-        self.say("no target")
+        self.add_comment("no target")
         await self.call(url, COMPLETIONS, PLAN)
-        self.say("a target that refuses")
+        self.add_comment("a target that refuses")
         engine = await self.fleet.add_engine("engine-1")
         engine.refusing = True
         await self.call(url, COMPLETIONS, PLAN)
-        self.say("too many requests of the organisation at once")
-        await self._too_many(url)
-        self.say("no lease")
+        self.add_comment("too many requests of the organisation at once")
+        await self._exceed_the_request_limit(url)
+        self.add_comment("no lease")
         self.fleet.source.lease = False
         await self.call(url, COMPLETIONS, PLAN)
         self.assertEqual({}, engine.starts)
 
-    async def _too_many(self, url):
+    async def _exceed_the_request_limit(self, url):
         self.fleet.configure(organisation__o={"maximum_requests": 1})
         admission = self.fleet.entries[0].application._context.admission
         organisation = self.fleet.source.current().organisations["o"]
@@ -96,7 +96,7 @@
             await self.call(url, COMPLETIONS, PLAN)
 
 
-class EngineDiesBeforeFirstTokenSession(SessionCase, unittest.IsolatedAsyncioTestCase):
+class EngineFailsBeforeFirstTokenSession(SessionCase, unittest.IsolatedAsyncioTestCase):
     golden = "engine-dies-before-first-token"
 
     async def play(self):
@@ -105,7 +105,7 @@
         await self.call(await self.fleet.add_entry(), COMPLETIONS, PLAN)
 
 
-class EngineDiesAfterFirstTokenSession(SessionCase, unittest.IsolatedAsyncioTestCase):
+class EngineFailsAfterFirstTokenSession(SessionCase, unittest.IsolatedAsyncioTestCase):
     golden = "engine-dies-after-first-token"
 
     async def play(self):
@@ -114,7 +114,7 @@
         await self.call(await self.fleet.add_entry(), COMPLETIONS, PLAN)
 
 
-class StalledLinkSession(SessionCase, unittest.IsolatedAsyncioTestCase):
+class StalledConnectionSession(SessionCase, unittest.IsolatedAsyncioTestCase):
     golden = "stalled-link-resumed"
 
     async def play(self):
@@ -122,20 +122,20 @@
         await self.call(await self.fleet.add_entry(), COMPLETIONS, PLAN)
 
 
-class CallerGoesAwaySession(SessionCase, unittest.IsolatedAsyncioTestCase):
+class CallerDisconnectsSession(SessionCase, unittest.IsolatedAsyncioTestCase):
     golden = "caller-goes-away"
 
     async def play(self):
         await self.add_scripted(serving(0, 2, silent))
         url = await self.fleet.add_entry()
-        self.say("the caller reads two tokens and goes away")
+        self.add_comment("the caller reads two tokens and goes away")
         async with self.session.post(
             f"{url}{COMPLETIONS}", json=PLAN, headers=KEY
         ) as response:
             text = ""
             while text.count("\n\n") < 2:
                 text += (await response.content.readany()).decode()
-            self.answer(response, text)
+            self.add_response(response, text)
             response.close()
         await until(lambda: any("cancelled" in line for line in self.lines))
 
@@ -147,7 +147,7 @@
         await self.fleet.add_engine("engine-1")
         urls = [await self.fleet.add_entry() for _ in range(2)]
         text = await self.call(urls[0], COMPLETIONS, PLAN)
-        self.say("it lost the stream after the first token")
+        self.add_comment("it lost the stream after the first token")
         first = text.split("\n\n")[0] + "\n\n"
         headers = {**KEY, "Last-Event-ID": last_id(first)}
         await self.call(urls[1], COMPLETIONS, None, headers, method="GET")
@@ -162,7 +162,7 @@
         headers = {**KEY, "Idempotency-Key": "visit-7"}
         for url in urls:
             await self.call(url, "/app/bookings", "horse=Freja", headers)
-        self.say("the same key for another booking")
+        self.add_comment("the same key for another booking")
         await self.call(urls[0], "/app/bookings", "horse=Loke", headers)
         await asyncio.sleep(0)
         self.assertEqual(1, len(self.fleet.plains["stable-1"].ran))
--- a/tests/test_entry_streams.py
+++ b/tests/test_entry_streams.py
@@ -1,4 +1,4 @@
-"""Tests of streams: each token once, in order, from one generation."""
+"""Tests of streams: each token once, in order and from one generation."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from endivesill.entry.identity import GenerationIds
 from endivesill.entry.settings import EntrySettings
 from tests.entry_fakes import (
-    FAST,
+    FAST_SETTINGS,
     KEY,
     OTHER_KEY,
     PEER_KEYS,
@@ -45,7 +45,7 @@
 
 
 class BrokenStreamTest(StreamTestCase):
-    async def test_a_broken_stream_goes_on_at_the_same_engine(self):
+    async def test_a_broken_stream_is_resumed_at_the_same_engine(self):
         engine = await self.add_scripted(serving(0, 3, breaking), serving(3, 6))
         url = await self.fleet.add_entry()
         _, text = await self.stream(url)
@@ -66,13 +66,13 @@
         _, text = await self.stream(url)
         self.assertEqual(numbered(6), words(text))
 
-    async def test_a_gap_is_asked_for_again(self):
+    async def test_a_gap_is_requested_again(self):
         await self.add_scripted(serving(0, 2, breaking), serving(3, 6), serving(2, 6))
         url = await self.fleet.add_entry()
         _, text = await self.stream(url)
         self.assertEqual(numbered(6), words(text))
 
-    async def test_an_engine_gone_before_the_first_token_is_replaced(self):
+    async def test_an_engine_that_fails_before_the_first_token_is_replaced(self):
         dead = await self.add_scripted(dying, name="a")
         engine = await self.fleet.add_engine("b")
         url = await self.fleet.add_entry()
@@ -80,7 +80,7 @@
         self.assertEqual(numbered(5), words(text))
         self.assertEqual((1, 1), (len(dead.starts), len(engine.starts)))
 
-    async def test_an_engine_gone_after_the_first_token_gives_a_typed_error(self):
+    async def test_an_engine_that_fails_after_a_token_gives_an_error_event(self):
         await self.add_scripted(serving(0, 2, breaking), answering(410), name="a")
         other = await self.fleet.add_engine("b")
         url = await self.fleet.add_entry()
@@ -92,7 +92,7 @@
         self.assertEqual(response.headers["X-Generation-Id"], error["generation"])
         self.assertEqual({}, other.starts)
 
-    async def test_a_whole_answer_begins_anew_when_its_engine_is_gone(self):
+    async def test_a_buffered_response_restarts_when_its_engine_fails(self):
         await self.add_scripted(serving(0, 2, breaking), answering(410), name="a")
         await self.fleet.add_engine("b")
         url = await self.fleet.add_entry()
@@ -101,7 +101,7 @@
         self.assertEqual("w0 w1 w2 ", document["choices"][0]["text"])
         self.assertEqual(3, document["usage"]["completion_tokens"])
 
-    async def test_an_answer_of_another_attempt_is_dropped(self):
+    async def test_a_response_to_another_attempt_is_dropped(self):
         async def crossed(engine, writer, line, headers):
             engine.begin(writer, headers, "another")
             engine.tokens(writer, headers["x-generation-id"], 0, 3)
@@ -113,7 +113,7 @@
         self.assertEqual(numbered(4), words(text))
         self.assertIn("answer-dropped", self.seen)
 
-    async def test_a_token_of_another_generation_is_never_passed_on(self):
+    async def test_a_token_of_another_generation_is_never_forwarded(self):
         async def foreign(engine, writer, generation_id):
             engine.tokens(writer, "f" * 48, 2, 5)
 
@@ -123,14 +123,14 @@
         self.assertNotIn("f" * 48, text)
         self.assertEqual(numbered(4), words(text))
 
-    async def test_a_generation_that_may_have_run_is_not_called_not_run(self):
+    async def test_a_generation_that_may_have_run_is_not_reported_as_not_run(self):
         await self.add_scripted(dying)
         url = await self.fleet.add_entry()
         response, text = await self.stream(url)
         self.assertEqual("unknown", json.loads(text)["run"])
         self.assertEqual(503, response.status)
 
-    async def test_a_late_first_token_is_a_refusal_by_the_deadline(self):
+    async def test_a_late_first_token_is_refused_at_the_deadline(self):
         self.fleet.configure(service__llm={"deadline_s": 0.3})
         engine = await self.add_scripted(serving(0, 0, silent))
         url = await self.fleet.add_entry()
@@ -142,7 +142,7 @@
         )
         await until(lambda: any("/cancel" in line for line in engine.ran))
 
-    async def test_a_grant_that_ends_while_connecting_sends_no_byte(self):
+    async def test_a_grant_that_expires_while_connecting_sends_no_byte(self):
         engine = await self.add_scripted(serving(0, 3))
         url = await self.fleet.add_entry()
         leases = iter([True])
@@ -160,8 +160,8 @@
         self.other = await self.fleet.add_engine("b")
         self.urls = [await self.fleet.add_entry() for _ in range(2)]
 
-    async def begin(self, url, tokens=200):
-        """Read a few events of a stream and go away; return what came."""
+    async def read_and_disconnect(self, url, tokens=200):
+        """Read a few events of a stream and disconnect; return the complete ones."""
         body = {"model": "llm", "prompt": "x", "stream": True, "max_tokens": tokens}
         async with self.session.post(
             f"{url}/v1/completions", json=body, headers=KEY
@@ -172,25 +172,25 @@
             response.close()
         return text[: text.rindex("\n\n") + 2]
 
-    async def test_a_caller_goes_on_through_another_entry(self):
-        first = await self.begin(self.urls[0])
+    async def test_a_caller_resumes_through_another_entry(self):
+        first = await self.read_and_disconnect(self.urls[0])
         _, rest = await self.stream(
             self.urls[1], headers={**KEY, "Last-Event-ID": last_id(first)}
         )
         self.assertEqual(numbered(200), words(first) + words(rest))
-        await asyncio.sleep(2 * FAST.resume_window_s)
+        await asyncio.sleep(2 * FAST_SETTINGS.resume_window_s)
         self.assertEqual([], self.engine.cancelled + self.other.cancelled)
         self.assertEqual(1, len(self.engine.starts) + len(self.other.starts))
 
-    async def test_a_caller_goes_on_through_the_same_entry(self):
-        first = await self.begin(self.urls[0])
+    async def test_a_caller_resumes_through_the_same_entry(self):
+        first = await self.read_and_disconnect(self.urls[0])
         _, rest = await self.stream(
             self.urls[0], headers={**KEY, "Last-Event-ID": last_id(first)}
         )
         self.assertEqual(numbered(200), words(first) + words(rest))
         self.assertIn("stream-reconnected", self.seen)
 
-    async def test_a_caller_that_comes_back_early_takes_its_stream_over(self):
+    async def test_an_early_reconnect_takes_the_stream_over(self):
         body = {"model": "llm", "prompt": "x", "stream": True, "max_tokens": 300}
         async with self.session.post(
             f"{self.urls[0]}/v1/completions", json=body, headers=KEY
@@ -207,8 +207,8 @@
         self.assertEqual(numbered(300), words(first) + words(rest))
         self.assertNotIn("[DONE]", text)
 
-    async def test_nobody_coming_back_cancels_after_the_window(self):
-        await self.begin(self.urls[0], tokens=5000)
+    async def test_a_generation_is_cancelled_without_a_reconnect_in_the_window(self):
+        await self.read_and_disconnect(self.urls[0], tokens=5000)
         table = self.fleet.entries[0].application.table
         await until(lambda: table.retained_count() == 1)
         self.assertEqual([], self.engine.cancelled)
@@ -224,14 +224,14 @@
         self.assertEqual(numbered(10, 3), words(rest))
 
     async def test_another_organisation_cannot_read_a_generation(self):
-        first = await self.begin(self.urls[0])
+        first = await self.read_and_disconnect(self.urls[0])
         response, text = await self.stream(
             self.urls[1], headers={**OTHER_KEY, "Last-Event-ID": last_id(first)}
         )
         self.assertEqual(404, response.status)
         self.assertEqual("last-event-id", json.loads(text)["field"])
 
-    async def test_an_id_that_is_not_ours_is_refused(self):
+    async def test_an_invalid_event_id_is_refused(self):
         for value in ("x", "0:1", "f" * 48, "f" * 48 + ":x"):
             response, _ = await self.stream(
                 self.urls[0], headers={**KEY, "Last-Event-ID": value}
@@ -250,7 +250,7 @@
         self.engine = await self.fleet.add_engine("a")
         self.urls = [await self.fleet.add_entry() for _ in range(2)]
 
-    async def test_a_leaving_engine_hands_its_generation_over(self):
+    async def test_a_leaving_engine_migrates_its_generation(self):
         stream = asyncio.ensure_future(self.stream(self.urls[0], max_tokens=300))
         await until(lambda: self.engine.generated_tokens > 10)
         other = await self.fleet.add_engine("b")
@@ -267,7 +267,7 @@
         )
         self.assertEqual(numbered(300, 3), words(rest))
 
-    async def test_engines_that_name_each_other_are_not_asked_for_ever(self):
+    async def test_a_redirect_loop_between_engines_ends(self):
         first, second = ScriptedEngine(), ScriptedEngine()
         urls = [f"http://{await engine.start()}" for engine in (first, second)]
         to_first, to_second = (answering(410, f"X-Moved-To: {url}") for url in urls)
@@ -281,7 +281,7 @@
         self.assertEqual(2, self.error_of(text)["next_index"])
         self.assertLess(len(first.starts) + len(second.starts), 12)
 
-    async def test_an_engine_that_offers_no_moves_keeps_its_generation(self):
+    async def test_an_engine_without_migration_keeps_its_generation(self):
         self.engine.options.offers_moves = False
         stream = asyncio.ensure_future(self.stream(self.urls[0], max_tokens=100))
         await until(lambda: self.engine.generated_tokens > 10)
@@ -293,7 +293,7 @@
 
 
 class SlowReaderTest(StreamTestCase):
-    async def test_a_stalled_reader_is_cut_off_and_its_generation_cancelled(self):
+    async def test_a_stalled_reader_is_disconnected_and_its_generation_cancelled(self):
         async def flood(engine, writer, generation_id):
             for index in range(2000):
                 event = f"id: {generation_id}:{index}\ndata: {'x' * 65_536}\n\n"
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the replicated ledger and of an entry's claims."""
+"""Tests of the replicated ledger and of claims."""
 
 import asyncio
 import copy
@@ -24,11 +24,11 @@
 from endivesill.entry.settings import EntrySettings
 from endivesill.timer import ManualTimer
 
-ANSWER = {"status": 200, "headers": [["a", "b"]], "body": "0123456789"}
+STORED_RESPONSE = {"status": 200, "headers": [["a", "b"]], "body": "0123456789"}
 
 
-class Ledger:
-    """The ledger's commands with short arguments."""
+class LedgerCommands:
+    """Runs ledger commands with default arguments."""
 
     def __init__(self, entries=3, age_s=100.0, answers_bytes=1000):
         self.state = State()
@@ -66,74 +66,74 @@
 
 class LedgerTest(unittest.TestCase):
     def test_a_key_is_claimed_once(self):
-        ledger = Ledger()
+        ledger = LedgerCommands()
         self.assertEqual("claimed", ledger.claim("k", 0.0)["state"])
         again = ledger.claim("k", 1.0, attempt="b")
         self.assertEqual(("running", 9.0), (again["state"], again["wait_s"]))
 
-    def test_a_claim_sent_again_after_a_lost_answer_is_the_same_claim(self):
-        ledger = Ledger()
+    def test_a_claim_repeated_after_a_lost_response_is_the_same_claim(self):
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         self.assertEqual("claimed", ledger.claim("k", 1.0)["state"])
 
     def test_a_key_of_another_request_is_a_mismatch(self):
-        ledger = Ledger()
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         self.assertEqual("mismatch", ledger.claim("k", 1.0, digest="e")["state"])
 
-    def test_a_finished_key_gives_its_answer(self):
-        ledger = Ledger()
+    def test_a_finished_key_returns_its_response(self):
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
-        ledger.finish("k", 1.0, answer=ANSWER)
+        ledger.finish("k", 1.0, answer=STORED_RESPONSE)
         found = ledger.claim("k", 2.0, attempt="b")
-        self.assertEqual(("done", ANSWER), (found["state"], found["answer"]))
+        self.assertEqual(("done", STORED_RESPONSE), (found["state"], found["answer"]))
 
-    def test_the_oldest_answers_give_way_but_their_keys_stay_known(self):
-        ledger = Ledger(answers_bytes=30)
+    def test_the_oldest_responses_are_dropped_but_their_keys_stay_known(self):
+        ledger = LedgerCommands(answers_bytes=30)
         for number, key in enumerate("klm"):
             ledger.claim(key, float(number))
-            ledger.finish(key, float(number), answer=ANSWER)
+            ledger.finish(key, float(number), answer=STORED_RESPONSE)
         found = [ledger.claim(key, 5.0, attempt="b") for key in "klm"]
         self.assertEqual(["done"] * 3, [each["state"] for each in found])
         kept = [each["answer"] for each in found]
-        self.assertEqual([None, ANSWER, ANSWER], kept)
+        self.assertEqual([None, STORED_RESPONSE, STORED_RESPONSE], kept)
         self.assertEqual(24, ledger.state.sections["ledger-0"]["answer_bytes"])
 
-    def test_a_claim_past_its_time_is_unknown_and_never_claimed_again(self):
-        ledger = Ledger()
+    def test_an_expired_claim_is_unknown_and_never_claimed_again(self):
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         self.assertEqual("unknown", ledger.claim("k", 11.0, attempt="b")["state"])
         self.assertEqual("unknown", ledger.claim("k", 12.0)["state"])
 
     def test_a_late_outcome_replaces_an_unknown_one(self):
-        ledger = Ledger()
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         ledger.claim("k", 11.0, attempt="b")
         ledger.finish("k", 12.0)
         self.assertEqual("done", ledger.claim("k", 13.0, attempt="b")["state"])
 
     def test_a_released_key_can_be_claimed_again(self):
-        ledger = Ledger()
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         ledger.finish("k", 1.0, result="released")
         self.assertEqual("absent", ledger.read("k"))
         self.assertEqual("claimed", ledger.claim("k", 2.0, attempt="b")["state"])
 
     def test_another_attempt_cannot_finish_a_claim(self):
-        ledger = Ledger()
+        ledger = LedgerCommands()
         ledger.claim("k", 0.0)
         ledger.finish("k", 1.0, result="released", attempt="b")
         self.assertEqual("running", ledger.read("k"))
 
     def test_keys_expire_by_age(self):
-        ledger = Ledger(age_s=50.0)
+        ledger = LedgerCommands(age_s=50.0)
         ledger.claim("k", 0.0)
         ledger.finish("k", 1.0)
         ledger.claim("l", 51.0)
         self.assertEqual("absent", ledger.read("k"))
 
-    def test_the_oldest_key_makes_room_but_never_a_running_one(self):
-        ledger = Ledger(entries=2)
+    def test_the_oldest_key_is_evicted_but_never_a_running_one(self):
+        ledger = LedgerCommands(entries=2)
         ledger.claim("k", 0.0)
         ledger.finish("k", 1.0)
         ledger.claim("l", 2.0)
@@ -160,8 +160,8 @@
             max_size=40,
         )
     )
-    def test_a_restored_snapshot_goes_on_like_the_state(self, steps):
-        ledger, other = (Ledger(answers_bytes=20) for _ in range(2))
+    def test_a_restored_snapshot_behaves_like_the_original_state(self, steps):
+        ledger, other = (LedgerCommands(answers_bytes=20) for _ in range(2))
         time_s = 0.0
         running = {}
         for key, attempt, action, passed_s in steps:
@@ -177,8 +177,8 @@
                     self.assertTrue(until_s <= time_s or owner == attempt)
                     running[key] = (time_s + 10.0, attempt)
             else:
-                ledger.finish(key, time_s, action, attempt, ANSWER)
-                other.finish(key, time_s, action, attempt, ANSWER)
+                ledger.finish(key, time_s, action, attempt, STORED_RESPONSE)
+                other.finish(key, time_s, action, attempt, STORED_RESPONSE)
                 if running.get(key, (0, ""))[1] == attempt:
                     running.pop(key)
             self.assertEqual(ledger.state, other.state)
@@ -214,7 +214,7 @@
             organisation, service, key, self.digest, limits, "request"
         )
 
-    async def test_a_waiting_entry_gets_the_answer_of_the_running_one(self):
+    async def test_a_waiting_entry_gets_the_response_of_the_running_call(self):
         claim = await self.claim(self.first)
         waiting = asyncio.ensure_future(self.claim(self.second))
         await self.timer.advance(0.5)
@@ -231,13 +231,13 @@
         await self.timer.advance(5.1)
         self.assertEqual(ClaimState.RUNNING, (await waiting).state)
 
-    async def test_a_dead_claimant_leaves_the_outcome_unknown(self):
+    async def test_a_failed_claimant_leaves_the_outcome_unknown(self):
         await self.claim(self.first)
         self.gone.add("vm-1")
         found = await self.claim(self.second)
         self.assertEqual(ClaimState.UNKNOWN, found.state)
 
-    async def test_a_released_claim_goes_to_the_one_that_waits(self):
+    async def test_a_released_claim_is_claimed_by_the_waiting_entry(self):
         claim = await self.claim(self.first)
         waiting = asyncio.ensure_future(self.claim(self.second))
         await self.timer.advance(0.5)
@@ -245,7 +245,7 @@
         await self.timer.advance(1.0)
         self.assertEqual(ClaimState.CLAIMED, (await waiting).state)
 
-    async def test_no_control_state_is_a_refusal_before_dispatch(self):
+    async def test_an_unavailable_control_state_is_refused_before_dispatch(self):
         self.control.failure = errors.UnavailableError("no leader")
         with self.assertRaises(errors.RefusedError) as caught:
             await self.claim(self.first)
@@ -277,7 +277,7 @@
         self.assertNotEqual(before, self.control.state)
         self.assertEqual(ClaimState.DONE, (await self.claim(self.second)).state)
 
-    async def test_a_key_that_is_no_key_is_refused(self):
+    async def test_an_invalid_key_is_refused(self):
         for key in ("", "x" * 256, "a\x00b"):
             with self.assertRaises(errors.RequestError):
                 await self.claim(self.first, key)
