--- a/endivesill/entry/reconnect.py
+++ b/endivesill/entry/reconnect.py
@@ -154,7 +154,7 @@
     response: Response,
     last: EventId,
 ) -> Relay:
-    """Create a relay with the retained grant, or else an unaccounted one."""
+    """Create a relay with the retained grant, or a grant unknown to the router."""
     retained = table.take_retained(last.generation_id)
     if retained is not None:
         grant = retained.grant
--- a/endivesill/orders/orderer.py
+++ b/endivesill/orders/orderer.py
@@ -213,7 +213,9 @@
     async def _read_back(
         self, target: Target, request: OrderRequest, acknowledged: bool
     ) -> OrderState:
-        """Poll the reports of an engine until one shows the order, or a timeout.
+        """Poll an engine's reports until one shows the order as applied.
+
+        After `read_back_s` without such a report, the order counts as UNSEEN.
 
         Args:
           target: the engine.
