--- a/bench/credits.py
+++ b/bench/credits.py
@@ -20,8 +20,8 @@
 from endivesill.configuration.source import FixedConfiguration
 from endivesill.membership import StaticMembership, VmRecord
 from endivesill.peers import MemoryNetwork
-from endivesill.routing import Lender, Wallet
-from endivesill.routing.credits import Use
+from endivesill.routing import CreditClient, CreditServer
+from endivesill.routing.credits import Usage
 from endivesill.targets import LoadReport
 from endivesill.timer import ManualTimer
 
@@ -72,9 +72,13 @@
     for name in "hb":
         peers = network.transport(name)
         membership = StaticMembership(name, records, homes)
-        lender = Lender(timer, source.current, f"{name}-1", membership, peers, source)
-        wallet = Wallet(timer, source.current, f"{name}-1", lender, membership, peers)
-        wallet.use_of = lambda target: Use(slots=SLOTS_IN_USE, ahead_slots=2)
+        lender = CreditServer(
+            timer, source.current, f"{name}-1", membership, peers, source
+        )
+        wallet = CreditClient(
+            timer, source.current, f"{name}-1", lender, membership, peers
+        )
+        wallet.usage_of = lambda target: Usage(slots=SLOTS_IN_USE, headroom_slots=2)
         wallets.append(wallet)
         await wallet.start()
         if name == "h":
@@ -84,7 +88,7 @@
     started_s = time.process_time()
     for _ in range(int(DURATION_S / STEP_S)):
         for target in targets:
-            borrower.demand(target)
+            borrower.note_demand(target)
             report = LoadReport("boot", running=SLOTS_IN_USE, memory_tokens=100_000)
             home.observe_load(target, report)
         await timer.advance(STEP_S)
--- a/bench/routing_cost.py
+++ b/bench/routing_cost.py
@@ -17,8 +17,8 @@
 )
 from endivesill.membership import StaticMembership, VmRecord
 from endivesill.peers import MemoryNetwork
-from endivesill.routing import Lender, Outcome, Router, RouteRequest, Wallet
-from endivesill.routing.credits import Use
+from endivesill.routing import CreditClient, CreditServer, Outcome, Router, RouteRequest
+from endivesill.routing.credits import Usage
 from endivesill.routing.lengths import LengthEstimator
 from endivesill.timer import ManualTimer, SystemTimer
 
@@ -58,11 +58,11 @@
     """Return the mean processor time of a grant and its end."""
     timer = SystemTimer()
     configuration = fleet(count)
-    lender = Lender(timer, lambda: configuration, "bench")
-    wallet = Wallet(timer, lambda: configuration, "bench", lender)
-    router = Router(timer, lambda: configuration, wallet=wallet)
+    lender = CreditServer(timer, lambda: configuration, "bench")
+    wallet = CreditClient(timer, lambda: configuration, "bench", lender)
+    router = Router(timer, lambda: configuration, credit_client=wallet)
     for target in configuration.targets.values():
-        lender.ledger(target).assume_warm()
+        lender.allocator(target).assume_warm()
     organisation = Organisation("o", key_sha256="0" * 64)
     services = list(configuration.services.values())
     requests = [
@@ -108,12 +108,14 @@
     for name in names:
         membership = StaticMembership(name, records, homes)
         peers = network.transport(name)
-        lender = Lender(timer, lambda: configuration, name, membership, peers)
-        wallet = Wallet(timer, lambda: configuration, name, lender, membership, peers)
-        wallet.use_of = lambda target: Use(slots=3, tokens=4000, ahead_slots=2)
+        lender = CreditServer(timer, lambda: configuration, name, membership, peers)
+        wallet = CreditClient(
+            timer, lambda: configuration, name, lender, membership, peers
+        )
+        wallet.usage_of = lambda target: Usage(slots=3, tokens=4000, headroom_slots=2)
         await wallet.start()
         for target in configuration.targets.values():
-            wallet.need(target)
+            wallet.request_more(target)
         wallets.append(wallet)
     await timer.advance(EXCHANGE_S)
     for wallet in wallets:
--- a/bench/routing_entry.py
+++ b/bench/routing_entry.py
@@ -8,7 +8,7 @@
 from endivesill.configuration.model import Configuration, Target
 from endivesill.membership import StaticMembership, VmRecord
 from endivesill.peers import MemoryNetwork
-from endivesill.routing import Lender, Router, Wallet
+from endivesill.routing import CreditClient, CreditServer, Router
 from endivesill.routing.prefixes import PrefixIndex
 from endivesill.targets.monitor import TargetMonitor
 from endivesill.timer import TimerService
@@ -31,17 +31,17 @@
         self.name = name
         peers = network.transport(name)
         prefixes = PrefixIndex()
-        self.lender = Lender(timer, current, name, membership, peers)
-        self.wallet = Wallet(timer, current, name, self.lender, membership, peers)
+        self.lender = CreditServer(timer, current, name, membership, peers)
+        self.wallet = CreditClient(timer, current, name, self.lender, membership, peers)
         self.router = Router(
             timer,
             current,
-            wallet=self.wallet,
+            credit_client=self.wallet,
             prefixes=prefixes,
             entry_name=name,
         )
         self.monitor = TargetMonitor(
-            timer, current, engines, self.lender.is_home, self.lender, prefixes
+            timer, current, engines, self.lender.is_owner, self.lender, prefixes
         )
 
     async def start(self) -> None:
@@ -56,8 +56,8 @@
 
     def assume_warm(self, target: Target) -> None:
         """Begin as a home that has known a warm target for long."""
-        if self.lender.is_home(target):
-            self.lender.ledger(target).assume_warm()
+        if self.lender.is_owner(target):
+            self.lender.allocator(target).assume_warm()
 
 
 def make_entries(
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -168,8 +168,8 @@
 
     def allowance_slots(self, target: Target) -> int:
         """Return what the target's home lends at most."""
-        home = next(e for e in self.entries if e.lender.is_home(target))
-        return home.lender.ledger(target).allowance_slots()
+        home = next(e for e in self.entries if e.lender.is_owner(target))
+        return home.lender.allocator(target).allowance_slots()
 
     def elapsed_s(self) -> float:
         """Return the time since the run's start."""
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -40,7 +40,7 @@
 from endivesill.orders.service import OrderService
 from endivesill.orders.settings import OrderSettings
 from endivesill.peer_port import PeerPort
-from endivesill.routing import Backoff, Lender, PrefixIndex, Router, Wallet
+from endivesill.routing import Backoff, CreditClient, CreditServer, PrefixIndex, Router
 from endivesill.settings import Settings
 from endivesill.targets import EngineAdapter, LoadReport, TargetClient
 from endivesill.targets.monitor import TargetMonitor
@@ -58,7 +58,7 @@
       leaving: keeps which targets are leaving.
     """
 
-    def __init__(self, lender: Lender, leaving: LeavingTargets) -> None:
+    def __init__(self, lender: CreditServer, leaving: LeavingTargets) -> None:
         self._lender = lender
         self._leaving = leaving
 
@@ -71,9 +71,9 @@
         """Note that the target does not answer."""
         self._lender.observe_silence(target)
 
-    def observe_cleared(self, target: Target) -> None:
+    def observe_cache_cleared(self, target: Target) -> None:
         """Note that the target has lost its prefix cache."""
-        self._lender.observe_cleared(target)
+        self._lender.observe_cache_cleared(target)
 
 
 class MonitorService(Service):
@@ -90,7 +90,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        lender: Lender,
+        lender: CreditServer,
         prefixes: PrefixIndex,
         configuration: NamedConfigurationSource,
         membership: SwimMembership,
@@ -234,14 +234,18 @@
 ) -> None:
     timer = kernel.timer
     instance_id = membership.own_record.instance_id
-    lender = Lender(timer, source.current, instance_id, membership, transport, source)
-    wallet = Wallet(timer, source.current, instance_id, lender, membership, transport)
+    lender = CreditServer(
+        timer, source.current, instance_id, membership, transport, source
+    )
+    wallet = CreditClient(
+        timer, source.current, instance_id, lender, membership, transport
+    )
     prefixes = PrefixIndex()
     router = Router(
         timer,
         source.current,
         source=source,
-        wallet=wallet,
+        credit_client=wallet,
         prefixes=prefixes,
         is_leaving=membership.leaving_targets.is_leaving,
         entry_name=settings.vm.name,
--- a/endivesill/routing/__init__.py
+++ b/endivesill/routing/__init__.py
@@ -1,26 +1,26 @@
-"""Routing: which target a request goes to, and when."""
+"""Routing of requests to targets, with credit-based admission."""
 
-from endivesill.routing.lender import Lender
+from endivesill.routing.credit_client import CreditClient
+from endivesill.routing.credit_server import CreditServer
 from endivesill.routing.messages import Grant, Outcome, RouteRequest
 from endivesill.routing.policy import POLICIES, Candidate, Policy, policy
 from endivesill.routing.prefixes import PrefixIndex, prefix_hashes
 from endivesill.routing.retries import Backoff, RetryBudgets
 from endivesill.routing.router import Router
-from endivesill.routing.wallet import Wallet
 
 __all__ = [
     "POLICIES",
     "Backoff",
     "Candidate",
     "Grant",
-    "Lender",
+    "CreditServer",
     "Outcome",
     "Policy",
     "PrefixIndex",
     "RetryBudgets",
     "RouteRequest",
     "Router",
-    "Wallet",
+    "CreditClient",
     "policy",
     "prefix_hashes",
 ]
--- a/endivesill/routing/accounts.py
+++ b/endivesill/routing/accounts.py
@@ -1,4 +1,4 @@
-"""What a ledger keeps of its borrowers: their use, loans and lost work."""
+"""Per-entry accounting of a target's credits: usage, allocations, residual load."""
 
 from __future__ import annotations
 
@@ -6,55 +6,58 @@
 
 import attrs
 
-__all__ = ["PREDECESSOR", "Account", "Loan", "Residual", "Use"]
+__all__ = ["PREDECESSOR", "Allocation", "Account", "Residual", "Usage"]
 
-UNREPORTED_LIFE_S = 60.0
+RESIDUAL_LIFETIME_S = 60.0
 PREDECESSOR = ""
 
 
 @attrs.frozen
-class Use:
-    """What a borrower says of its work at a target.
+class Usage:
+    """An entry's load at a target and the credits that it requests.
+
+    The fields are sent as a list in this order.
 
     Attributes:
-      slots: requests that it runs there.
-      tokens: memory tokens that it has reserved there.
-      ahead_slots: how many it would like to start.
-      ahead_tokens: memory tokens that those would need.
-      serial: serial of the loan that it holds; 0 for none.
-      median_gap_ms: median gap between tokens; 0 if unknown.
-      tail_gap_ms: 99th percentile of the gap; 0 if unknown.
-      answers: answers completed since the last ask.
-      first_token_ms: their mean time to the first token.
-      recooled: whether it has seen the target turn cold.
-      least_slots: the fewest that it ran at any time since the last ask.
-      queued: how many requests wait for the target's service there.
+      slots: requests that the entry has in flight at the target.
+      tokens: memory tokens that those requests have reserved.
+      headroom_slots: additional requests that the entry wants to be able to start.
+      headroom_tokens: memory tokens that those additional requests would need.
+      serial: serial of the allocation that the entry holds; 0 for none.
+      median_gap_ms: median gap between output tokens; 0 if unknown.
+      tail_gap_ms: 99th percentile of that gap; 0 if unknown.
+      completed: responses completed since the last credit request.
+      first_token_ms: mean time to first token of those responses.
+      suspects_cold: whether the entry suspects that the target has become cold.
+      minimum_slots: the fewest requests in flight at any time since the last
+        credit request that was answered.
+      queued: requests queued at the entry for the target's service.
     """
 
     slots: int = 0
     tokens: int = 0
-    ahead_slots: int = 0
-    ahead_tokens: int = 0
+    headroom_slots: int = 0
+    headroom_tokens: int = 0
     serial: int = 0
     median_gap_ms: float = 0.0
     tail_gap_ms: float = 0.0
-    answers: int = 0
+    completed: int = 0
     first_token_ms: float = 0.0
-    recooled: bool = False
-    least_slots: int = 0
+    suspects_cold: bool = False
+    minimum_slots: int = 0
     queued: int = 0
 
 
 @attrs.frozen
-class Loan:
-    """Credits of one borrower at one target.
+class Allocation:
+    """Credits of one entry at one target.
 
     Attributes:
-      slots: requests that it may run at once.
-      tokens: memory tokens that it may reserve.
-      prefill_tokens: prompt tokens that it may have in flight.
-      serial: grows with each loan of a ledger.
-      expires_s: when it ends, on the holder's own clock.
+      slots: requests that may be in flight at once.
+      tokens: memory tokens that may be reserved.
+      prefill_tokens: prompt tokens that may be in prefill at once.
+      serial: increases with each allocation of an allocator.
+      expires_s: expiry time, on the clock of the process that holds the object.
     """
 
     slots: int
@@ -63,8 +66,8 @@
     serial: int
     expires_s: float
 
-    def is_larger_than(self, earlier: Loan | None) -> bool:
-        """Tell whether more may be run on it than on an earlier one."""
+    def is_larger_than(self, earlier: Allocation | None) -> bool:
+        """Tell whether it permits more slots or memory than an earlier one."""
         if earlier is None:
             return True
         return self.slots > earlier.slots or self.tokens > earlier.tokens
@@ -72,55 +75,85 @@
 
 @attrs.define
 class Account:
-    """A borrower's loans that it may still hold, by serial, and its last use.
+    """What an owner has allocated to one entry and what the entry last reported.
 
-    Its base is what it ran when it first asked, on an earlier home's loans. Its
-    asks are the times with the fewest slots that it had run since the one before.
+    Attributes:
+      base_slots: requests in flight at the entry's first credit request,
+        started on allocations of the previous owner.
+      allocations: the allocations that the entry may still hold, by serial.
+      usage: the entry's last report.
+      usage_history: time of each credit request, with the fewest requests that
+        the entry had in flight since the one before.
     """
 
     base_slots: int = 0
-    loans: dict[int, Loan] = attrs.Factory(dict)
-    use: Use = attrs.Factory(Use)
-    asks: collections.deque[tuple[float, int]] = attrs.Factory(collections.deque)
-
-    def certain_slots(self, from_s: float, until_s: float) -> int:
-        """Return how many it ran at least, at any time of a period."""
-        if not self.asks or self.asks[-1][0] < until_s:
+    allocations: dict[int, Allocation] = attrs.Factory(dict)
+    usage: Usage = attrs.Factory(Usage)
+    usage_history: collections.deque[tuple[float, int]] = attrs.Factory(
+        collections.deque
+    )
+
+    def minimum_running(self, from_s: float, until_s: float) -> int:
+        """Return a lower bound of the requests in flight throughout a period.
+
+        It is 0 if the last report is older than the end of the period.
+        """
+        if not self.usage_history or self.usage_history[-1][0] < until_s:
             return 0
-        return min(least for asked_s, least in self.asks if asked_s >= from_s)
-
-    def exposed_slots(self) -> int:
-        """Return the most that it may run."""
-        return max([self.use.slots, *(loan.slots for loan in self.loans.values())])
-
-    def exposed_tokens(self) -> int:
-        """Return the most memory that it may hold."""
-        return max([self.use.tokens, *(loan.tokens for loan in self.loans.values())])
+        return min(
+            minimum
+            for requested_s, minimum in self.usage_history
+            if requested_s >= from_s
+        )
+
+    def committed_slots(self) -> int:
+        """Return the most requests that the entry may have in flight."""
+        return max(
+            [
+                self.usage.slots,
+                *(allocation.slots for allocation in self.allocations.values()),
+            ]
+        )
+
+    def committed_tokens(self) -> int:
+        """Return the most memory tokens that the entry may have reserved."""
+        return max(
+            [
+                self.usage.tokens,
+                *(allocation.tokens for allocation in self.allocations.values()),
+            ]
+        )
 
     def expires_s(self) -> float:
-        """Return when its last loan ends."""
-        return max((loan.expires_s for loan in self.loans.values()), default=0.0)
+        """Return when the last allocation expires; 0 without allocations."""
+        return max(
+            (allocation.expires_s for allocation in self.allocations.values()),
+            default=0.0,
+        )
 
 
 @attrs.define
 class Residual:
-    """Work of borrowers that are not heard of; since then they start no more.
+    """Load that may remain after all allocations of an entry have expired.
+
+    An entry without a valid allocation starts no requests, but those that it
+    started before may still be running at the target.
 
     Attributes:
-      borrower: whose work it is; `PREDECESSOR` for those of an earlier home.
-      slots: the most that it can be.
-      tokens: the most memory that it can hold.
-      since_s: when the last loan ended.
-      base_slots: the part that was begun on an earlier home's loans.
+      entry_id: the entry; `PREDECESSOR` for all entries of the previous owner.
+      slots: upper bound of the requests still running.
+      tokens: upper bound of the memory tokens that they hold.
+      since_s: when the last allocation expired.
+      base_slots: the part started on allocations of the previous owner.
     """
 
-    borrower: str
+    entry_id: str
     slots: int
     tokens: int
     since_s: float
     base_slots: int = 0
 
     def is_over(self, now_s: float) -> bool:
-        """Tell whether the work has ended, as far as time alone can tell."""
-        life_s = 0.0 if self.borrower == PREDECESSOR else UNREPORTED_LIFE_S
-        return now_s - self.since_s >= life_s
+        """Tell whether the load has ended, judged by elapsed time alone."""
+        lifetime_s = 0.0 if self.entry_id == PREDECESSOR else RESIDUAL_LIFETIME_S
+        return now_s - self.since_s >= lifetime_s
--- a/endivesill/routing/credits.py
+++ b/endivesill/routing/credits.py
@@ -1,9 +1,9 @@
-"""Credits of one target, as its home lends them.
+"""Allocation of one target's capacity to entries, as credits.
 
-A ledger bounds the sum of what all borrowers may run. A borrower's exposure is
-the larger of the loans that it may still hold and of what it runs. It shrinks
-only when the borrower has confirmed a smaller loan, or when the loan has
-expired and the target's load report shows that the work has ended.
+A target's owner is the VM that polls the target and allocates its credits. The
+allocator bounds what all entries may have in flight. An entry's committed load is
+the larger of its allocations and of what it runs. It shrinks only once a smaller
+allocation is confirmed or, after expiry, a load report shows that the work is over.
 """
 
 from __future__ import annotations
@@ -12,36 +12,49 @@
 import math
 
 from endivesill.configuration.model import Target
-from endivesill.routing.accounts import PREDECESSOR, Account, Loan, Residual, Use
+from endivesill.routing.accounts import (
+    PREDECESSOR,
+    Account,
+    Allocation,
+    Residual,
+    Usage,
+)
 from endivesill.routing.limits import DecodeLimit, MemoryLimit, PrefillLimit
-from endivesill.routing.warmth import ColdStart
-
-__all__ = ["LOAN_LIFE_S", "RENEW_S", "TAKEOVER_S", "Ledger", "Loan", "Use"]
-
-LOAN_LIFE_S = 4.0
-RENEW_S = 1.5
-TAKEOVER_S = LOAN_LIFE_S + RENEW_S + 0.5
-REPORT_LAG_LIMIT_S = 3.0
-EVIDENCE_S = 15.0
-FOREIGN_WINDOW_S = 6.0
-TOKENS_PER_SLOT = 512
-ADAPT_PERIOD_S = 1.0
-JUMP_S = 10.0
-
-
-class Ledger:
-    """What a home lends of one target.
-
-    A new ledger cannot know what an earlier home has lent, so it lends from the
-    cold allowance until those loans have expired; beyond it, only as much as a
-    borrower already runs. A warm ledger keeps the cold allowance back, so that
-    two homes at once stay within what the target bears.
+from endivesill.routing.slow_start import SlowStart
+
+__all__ = [
+    "ALLOCATION_LIFETIME_S",
+    "RENEW_PERIOD_S",
+    "TAKEOVER_S",
+    "Allocation",
+    "CreditAllocator",
+    "Usage",
+]
+
+ALLOCATION_LIFETIME_S = 4.0
+RENEW_PERIOD_S = 1.5
+TAKEOVER_S = ALLOCATION_LIFETIME_S + RENEW_PERIOD_S + 0.5
+MAXIMUM_REPORT_LAG_S = 3.0
+USAGE_HISTORY_S = 15.0
+UNATTRIBUTED_WINDOW_S = 6.0
+TOKENS_PER_UNATTRIBUTED_SLOT = 512
+LIMIT_UPDATE_PERIOD_S = 1.0
+SLOWDOWN_WINDOW_S = 10.0
+
+
+class CreditAllocator:
+    """Allocates the credits of one target.
+
+    A new owner does not know its predecessor's allocations. Until they have
+    expired, it allocates what each entry has in flight and, beyond that, the cold
+    allowance. The allocator of a warm target keeps the cold allowance in reserve,
+    so that two owners at once stay within the target's capacity.
 
     Args:
       target: the target.
-      gap_target_ms: the service's bound on the gap between tokens.
-      first_token_target_ms: the service's bound on the first token.
-      now_s: when this home took over.
+      gap_target_ms: the service's limit on the gap between output tokens.
+      first_token_target_ms: the service's limit on the time to first token.
+      now_s: when this VM became the owner.
     """
 
     def __init__(
@@ -55,244 +68,249 @@
         self._gap_target_ms = gap_target_ms
         self._first_token_target_ms = first_token_target_ms
         self._taken_over_s = now_s
-        self._assumed = False
-        self.warmth = ColdStart(target.cold_slots, _warm_slots(target))
-        self.decode = DecodeLimit(_warm_slots(target))
-        self.memory = MemoryLimit()
-        self.prefill = PrefillLimit()
-        self.answering = True
+        # Whether slow start has begun from the load found at the takeover.
+        self._is_seeded = False
+        self.slow_start = SlowStart(target.cold_slots, _warm_slots(target))
+        self.decode_limit = DecodeLimit(_warm_slots(target))
+        self.memory_limit = MemoryLimit()
+        self.prefill_limit = PrefillLimit()
+        self.is_answering = True
         self._accounts: dict[str, Account] = {}
-        # What an earlier home's borrowers may run, until reports show otherwise.
+        # Upper bound of the previous owner's entries, until load reports lower it.
         self._residuals = [
             Residual(
                 PREDECESSOR,
                 target.maximum_slots,
                 target.memory_tokens,
-                now_s + LOAN_LIFE_S,
+                now_s + ALLOCATION_LIFETIME_S,
             )
         ]
         self._serial = 0
-        self._adapted_s = now_s
+        self._updated_s = now_s
         self._memory_tokens = target.memory_tokens
-        self._pressed = False
-        self._jumps: dict[str, float] = {}
-        self._foreign_slots = 0
-        self._reported: collections.deque[tuple[float, int]] = collections.deque()
-        self._known: collections.deque[tuple[float, int]] = collections.deque()
+        self._memory_limiting = False
+        self._suspicions: dict[str, float] = {}
+        self._unattributed_slots = 0
+        self._reported_loads: collections.deque[tuple[float, int]] = collections.deque()
+        self._known_loads: collections.deque[tuple[float, int]] = collections.deque()
 
     def allowance_slots(self) -> int:
-        """Return how many requests the target bears at once now."""
-        if not self.answering:
+        """Return how many requests the target may run at once now."""
+        if not self.is_answering:
             return 0
-        return min(self.warmth.slots, self.decode.slots)
+        return min(self.slow_start.slots, self.decode_limit.slots)
 
     def allowance_tokens(self) -> int:
         """Return how many memory tokens may be reserved; 0 for a plain service."""
-        return int(self.memory.tokens(self._memory_tokens))
+        return int(self.memory_limit.tokens(self._memory_tokens))
 
     def configure(self, target: Target) -> None:
-        """Take a changed target; loans that are out go on counting."""
+        """Apply a changed target; existing allocations continue to count."""
         if target == self.target:
             self.target = target
             return
         self.target = target
-        self.warmth.configure(target.cold_slots, _warm_slots(target))
-        self.decode.configure(_warm_slots(target))
+        self.slow_start.configure(target.cold_slots, _warm_slots(target))
+        self.decode_limit.configure(_warm_slots(target))
         self._memory_tokens = target.memory_tokens
 
     def assume_warm(self) -> None:
-        """Begin as a home that has long known a warm target."""
-        self.warmth.assume(self.target.maximum_slots)
+        """Skip the takeover period and slow start, as a long-standing owner."""
+        self.slow_start.raise_to(self.target.maximum_slots)
         self._residuals.clear()
-        self._assumed = True
+        self._is_seeded = True
         self._taken_over_s = -math.inf
 
-    def lent_slots(self, now_s: float) -> int:
-        """Return the exposure over all borrowers, the lost ones included."""
+    def total_committed_slots(self, now_s: float) -> int:
+        """Return the committed slots of all entries, including residual load."""
         self._expire(now_s)
-        lent = sum(account.exposed_slots() for account in self._accounts.values())
-        return lent + sum(residual.slots for residual in self._residuals)
+        active = sum(a.committed_slots() for a in self._accounts.values())
+        return active + sum(residual.slots for residual in self._residuals)
 
-    def ask(self, borrower: str, use: Use, now_s: float, *, lends: bool = True) -> Loan:
-        """Lend to a borrower.
+    def allocate(
+        self, entry_id: str, usage: Usage, now_s: float, *, may_allocate: bool = True
+    ) -> Allocation:
+        """Allocate credits to an entry.
 
         Args:
-          borrower: the entry's name and instance.
-          use: what it runs and wants.
-          now_s: the home's clock, which the loan's expiry is on.
-          lends: whether anything may be lent now.
+          entry_id: the instance id of the entry's process.
+          usage: the entry's load and the credits that it requests.
+          now_s: the owner's clock, on which the allocation expires.
+          may_allocate: whether slots may be allocated now.
         """
         self._expire(now_s)
-        account = self._account(borrower, use)
-        account.use = use
-        account.asks.append((now_s, use.least_slots))
-        while now_s - account.asks[0][0] > EVIDENCE_S:
-            account.asks.popleft()
-        held = account.loans.get(use.serial)
-        account.loans = {use.serial: held} if held else {}
-        self._adapt(use, now_s)
-        slots = self._grant_slots(borrower, use, now_s) if lends else 0
+        account = self._account(entry_id, usage)
+        account.usage = usage
+        account.usage_history.append((now_s, usage.minimum_slots))
+        while now_s - account.usage_history[0][0] > USAGE_HISTORY_S:
+            account.usage_history.popleft()
+        held = account.allocations.get(usage.serial)
+        account.allocations = {usage.serial: held} if held else {}
+        self._update_limits(usage, now_s)
+        slots = self._allocate_slots(entry_id, usage, now_s) if may_allocate else 0
         self._serial += 1
-        loan = Loan(
+        allocation = Allocation(
             slots,
-            self._grant_tokens(borrower, use),
+            self._allocate_tokens(entry_id, usage),
             self._prefill_share(),
             self._serial,
-            now_s + LOAN_LIFE_S,
+            now_s + ALLOCATION_LIFETIME_S,
         )
-        account.loans[loan.serial] = loan
-        self._note_known(now_s)
-        return loan
+        account.allocations[allocation.serial] = allocation
+        self._record_known_load(now_s)
+        return allocation
 
-    def _account(self, borrower: str, use: Use) -> Account:
-        """Return a borrower's account; one heard of again keeps its base."""
-        account = self._accounts.get(borrower)
+    def _account(self, entry_id: str, usage: Usage) -> Account:
+        """Return an entry's account; a returning entry keeps its base."""
+        account = self._accounts.get(entry_id)
         if account is None:
-            lost = [r.base_slots for r in self._residuals if r.borrower == borrower]
-            account = Account(min([use.slots, *lost]))
-            self._accounts[borrower] = account
-        # It says itself what it runs.
-        self._residuals = [r for r in self._residuals if r.borrower != borrower]
+            expired = [r.base_slots for r in self._residuals if r.entry_id == entry_id]
+            account = Account(min([usage.slots, *expired]))
+            self._accounts[entry_id] = account
+        # The usage report replaces the estimate of the entry's residual load.
+        self._residuals = [r for r in self._residuals if r.entry_id != entry_id]
         return account
 
-    def confirms_jump(self, borrower: str, use: Use, now_s: float) -> bool:
-        """Tell whether a borrower's word is enough that the target turned cold.
+    def confirms_slowdown(self, entry_id: str, usage: Usage, now_s: float) -> bool:
+        """Record that an entry suspects a cold target; tell if that is conclusive.
 
-        A stalled link looks the same to one borrower. So it takes two, or one that
-        runs at least half of the work.
+        A single entry cannot tell a cold target from a stalled network link, so
+        it takes two entries, or one that runs at least half of the load.
         """
-        running = sum(account.use.slots for account in self._accounts.values())
-        self._jumps[borrower] = now_s
-        self._jumps = {
-            name: at_s for name, at_s in self._jumps.items() if now_s - at_s < JUMP_S
+        running = sum(account.usage.slots for account in self._accounts.values())
+        self._suspicions[entry_id] = now_s
+        self._suspicions = {
+            name: at_s
+            for name, at_s in self._suspicions.items()
+            if now_s - at_s < SLOWDOWN_WINDOW_S
         }
-        return len(self._jumps) > 1 or 2 * use.slots >= running
+        return len(self._suspicions) > 1 or 2 * usage.slots >= running
 
-    def _adapt(self, use: Use, now_s: float) -> None:
-        if use.answers:
-            target_ms = self._first_token_target_ms
-            self.warmth.answered(use.answers, use.first_token_ms, target_ms)
-        if not use.median_gap_ms or now_s - self._adapted_s < ADAPT_PERIOD_S:
+    def _update_limits(self, usage: Usage, now_s: float) -> None:
+        if usage.completed:
+            slo_ms = self._first_token_target_ms
+            self.slow_start.add_completed(usage.completed, usage.first_token_ms, slo_ms)
+        if not usage.median_gap_ms or now_s - self._updated_s < LIMIT_UPDATE_PERIOD_S:
             return
-        self._adapted_s = now_s
-        running = sum(account.use.slots for account in self._accounts.values())
-        self.decode.observe(use.median_gap_ms, self._gap_target_ms, running)
-        self.prefill.observe(use.tail_gap_ms, self._gap_target_ms)
+        self._updated_s = now_s
+        running = sum(account.usage.slots for account in self._accounts.values())
+        self.decode_limit.observe(usage.median_gap_ms, self._gap_target_ms, running)
+        self.prefill_limit.observe(usage.tail_gap_ms, self._gap_target_ms)
 
-    def _grant_slots(self, borrower: str, use: Use, now_s: float) -> int:
-        if use.recooled or not self.answering:
+    def _allocate_slots(self, entry_id: str, usage: Usage, now_s: float) -> int:
+        if usage.suspects_cold or not self.is_answering:
             return 0
         allowance = self.allowance_slots()
         others = sum(
-            account.exposed_slots()
-            for name, account in self._accounts.items()
-            if name != borrower
+            a.committed_slots() for n, a in self._accounts.items() if n != entry_id
         )
         residual = sum(residual.slots for residual in self._residuals)
         if now_s - self._taken_over_s < TAKEOVER_S:
-            return self._takeover_slots(borrower, use)
-        if not self._assumed:
-            self._assumed = True
-            self.warmth.assume(others + use.slots)
+            return self._takeover_slots(entry_id, usage)
+        if not self._is_seeded:
+            self._is_seeded = True
+            self.slow_start.raise_to(others + usage.slots)
             allowance = self.allowance_slots()
-        free = allowance - others - max(residual, self._foreign_slots)
-        wants = [
-            a.use.slots + self._ahead_slots(a.use, allowance)
+        free = allowance - others - max(residual, self._unattributed_slots)
+        demands = [
+            a.usage.slots + self._headroom_slots(a.usage, allowance)
             for a in self._accounts.values()
         ]
-        share = _fair_share(wants, allowance - residual)
-        if use.queued or not self._anybody_queues():
-            # Shares under one slot go to who asks first.
+        share = _fair_share(demands, allowance - residual)
+        if usage.queued or not self._any_entry_queues():
+            # Shares of less than one slot go to the first entry that requests.
             share = max(1, share)
-        wanted = use.slots + self._ahead_slots(use, allowance)
-        return max(0, min(wanted, max(share, use.slots), free))
+        demand = usage.slots + self._headroom_slots(usage, allowance)
+        return max(0, min(demand, max(share, usage.slots), free))
 
-    def _ahead_slots(self, use: Use, allowance: int) -> int:
-        """Return the slots to lend in advance; few where nothing waits.
+    def _headroom_slots(self, usage: Usage, allowance: int) -> int:
+        """Return the headroom to allocate; limited for an entry without a queue.
 
-        While no borrower has a queue each may hold one, so that a target that is
-        cold gets work although others have room.
+        While no entry has a queue, each may hold one slot, so that a cold target
+        receives work even if other targets have capacity.
         """
-        if use.queued:
-            return use.ahead_slots
+        if usage.queued:
+            return usage.headroom_slots
         share = allowance // (2 * len(self._accounts))
-        if not self._anybody_queues():
+        if not self._any_entry_queues():
             share = max(1, share)
-        return min(use.ahead_slots, share)
+        return min(usage.headroom_slots, share)
 
-    def _anybody_queues(self) -> bool:
-        return any(account.use.queued for account in self._accounts.values())
+    def _any_entry_queues(self) -> bool:
+        return any(account.usage.queued for account in self._accounts.values())
 
-    def _takeover_slots(self, borrower: str, use: Use) -> int:
-        """Lend what borrowers ran before, and the cold allowance among all."""
+    def _takeover_slots(self, entry_id: str, usage: Usage) -> int:
+        """Return the entry's base plus what is free of the cold allowance."""
         others = [
-            (account.base_slots, account.exposed_slots())
-            for name, account in self._accounts.items()
-            if name != borrower
+            (a.base_slots, a.committed_slots())
+            for n, a in self._accounts.items()
+            if n != entry_id
         ]
         others += [
             (residual.base_slots, residual.slots)
             for residual in self._residuals
-            if residual.borrower != PREDECESSOR
+            if residual.entry_id != PREDECESSOR
         ]
-        base = self._accounts[borrower].base_slots
+        base = self._accounts[entry_id].base_slots
         bases = base + sum(other_base for other_base, _ in others)
-        extra = sum(max(0, exposed - other_base) for other_base, exposed in others)
+        extra = sum(max(0, committed - other_base) for other_base, committed in others)
         room = max(0, self.target.maximum_slots - bases)
-        cold = max(0, min(self.warmth.cold_slots, room) - extra)
-        ahead = self._ahead_slots(use, self.warmth.cold_slots)
-        return min(use.slots + ahead, base + cold)
+        cold = max(0, min(self.slow_start.cold_slots, room) - extra)
+        headroom = self._headroom_slots(usage, self.slow_start.cold_slots)
+        return min(usage.slots + headroom, base + cold)
 
-    def _grant_tokens(self, borrower: str, use: Use) -> int:
+    def _allocate_tokens(self, entry_id: str, usage: Usage) -> int:
         if not self._memory_tokens:
             return 0
         others = sum(
-            account.exposed_tokens()
-            for name, account in self._accounts.items()
-            if name != borrower
+            a.committed_tokens() for n, a in self._accounts.items() if n != entry_id
         )
         residual = sum(residual.tokens for residual in self._residuals)
-        foreign = self._foreign_slots * TOKENS_PER_SLOT
+        unattributed = self._unattributed_slots * TOKENS_PER_UNATTRIBUTED_SLOT
         allowance = self.allowance_tokens()
-        free = allowance - others - max(residual, foreign)
-        wants = [
-            a.use.tokens + self._ahead_tokens(a.use, allowance)
+        free = allowance - others - max(residual, unattributed)
+        demands = [
+            a.usage.tokens + self._headroom_tokens(a.usage, allowance)
             for a in self._accounts.values()
         ]
-        share = _fair_share(wants, allowance - residual)
-        wanted = use.tokens + self._ahead_tokens(use, allowance)
-        granted = max(0, min(wanted, max(share, use.tokens), free))
-        self._pressed = self._pressed or (granted < wanted and use.queued > 0)
-        return granted
-
-    def _ahead_tokens(self, use: Use, allowance: int) -> int:
-        """Return the memory to lend in advance; little where nothing waits."""
-        if use.queued:
-            return use.ahead_tokens
-        return min(use.ahead_tokens, allowance // (4 * len(self._accounts)))
+        share = _fair_share(demands, allowance - residual)
+        demand = usage.tokens + self._headroom_tokens(usage, allowance)
+        allocated = max(0, min(demand, max(share, usage.tokens), free))
+        self._memory_limiting = self._memory_limiting or (
+            allocated < demand and usage.queued > 0
+        )
+        return allocated
+
+    def _headroom_tokens(self, usage: Usage, allowance: int) -> int:
+        """Return the memory headroom; limited for an entry without a queue."""
+        if usage.queued:
+            return usage.headroom_tokens
+        return min(usage.headroom_tokens, allowance // (4 * len(self._accounts)))
 
     def _prefill_share(self) -> int:
         busy = sum(
-            1 for a in self._accounts.values() if a.use.slots or a.use.ahead_slots
+            1
+            for a in self._accounts.values()
+            if a.usage.slots or a.usage.headroom_slots
         )
-        return int(self.prefill.tokens / max(1, busy))
+        return int(self.prefill_limit.tokens / max(1, busy))
 
     def _expire(self, now_s: float) -> None:
         for name, account in list(self._accounts.items()):
-            if account.loans and account.expires_s() > now_s:
+            if account.allocations and account.expires_s() > now_s:
                 continue
             residual = Residual(
                 name,
-                account.exposed_slots(),
-                account.exposed_tokens(),
+                account.committed_slots(),
+                account.committed_tokens(),
                 now_s,
                 account.base_slots,
             )
             del self._accounts[name]
             if residual.slots:
                 self._residuals.append(residual)
-        if not self._reported:
-            # A target without load reports gives no better evidence.
+        if not self._reported_loads:
+            # Without load reports, elapsed time is the only evidence.
             self._residuals = [r for r in self._residuals if not r.is_over(now_s)]
 
     def observe_load(
@@ -303,36 +321,34 @@
         preemptions: int,
         now_s: float,
     ) -> bool:
-        """Take a late load report; return whether it shows a new boot."""
-        self.answering = True
+        """Apply a load report, which may lag; return whether the target rebooted."""
+        self.is_answering = True
         if memory_tokens:
             self._memory_tokens = memory_tokens
-        booted = self.warmth.observe_boot(boot_id)
+        booted = self.slow_start.observe_boot(boot_id)
         if booted:
             self._residuals.clear()
-        self.memory.observe(preemptions, pressed=self._pressed)
-        self._pressed = False
+        self.memory_limit.observe(preemptions, is_limiting=self._memory_limiting)
+        self._memory_limiting = False
         self._expire(now_s)
-        self._note_known(now_s)
-        self._reported.append((now_s, running))
-        self._forget_old(now_s)
-        least = min(count for _, count in self._reported)
-        most_known = max(count for _, count in self._known)
-        self._foreign_slots = max(0, least - most_known)
-        self._settle_residuals()
+        self._record_known_load(now_s)
+        self._reported_loads.append((now_s, running))
+        self._trim_windows(now_s)
+        minimum = min(count for _, count in self._reported_loads)
+        maximum_known = max(count for _, count in self._known_loads)
+        self._unattributed_slots = max(0, minimum - maximum_known)
+        self._release_residuals()
         return booted
 
-    def _settle_residuals(self) -> None:
-        """Release lost borrowers' work that the target no longer runs.
+    def _release_residuals(self) -> None:
+        """Lower residual loads to what the load reports leave room for.
 
-        What a report shows beyond what the others were certainly running then is
-        the most that lost work can be.
+        That is the reported load less what active entries certainly had running.
         """
-        for reported_s, running in self._reported:
-            from_s = reported_s - REPORT_LAG_LIMIT_S
+        for reported_s, running in self._reported_loads:
+            from_s = reported_s - MAXIMUM_REPORT_LAG_S
             certain = sum(
-                account.certain_slots(from_s, reported_s)
-                for account in self._accounts.values()
+                a.minimum_running(from_s, reported_s) for a in self._accounts.values()
             )
             left = max(0, running - certain)
             for residual in self._residuals:
@@ -345,39 +361,39 @@
             residual.tokens = residual.tokens * slots // residual.slots
             residual.slots = slots
 
-    def _note_known(self, now_s: float) -> None:
-        known = sum(account.use.slots for account in self._accounts.values())
+    def _record_known_load(self, now_s: float) -> None:
+        known = sum(account.usage.slots for account in self._accounts.values())
         known += sum(residual.slots for residual in self._residuals)
-        self._known.append((now_s, known))
-        self._forget_old(now_s)
+        self._known_loads.append((now_s, known))
+        self._trim_windows(now_s)
 
-    def _forget_old(self, now_s: float) -> None:
-        for window in (self._reported, self._known):
-            while len(window) > 1 and now_s - window[0][0] > FOREIGN_WINDOW_S:
+    def _trim_windows(self, now_s: float) -> None:
+        for window in (self._reported_loads, self._known_loads):
+            while len(window) > 1 and now_s - window[0][0] > UNATTRIBUTED_WINDOW_S:
                 window.popleft()
 
-    def silent(self) -> None:
-        """Note that the target does not answer: nothing is lent."""
-        self.answering = False
-        self.warmth.recool()
+    def mark_silent(self) -> None:
+        """Allocate no slots until the target answers polls again, then slow start."""
+        self.is_answering = False
+        self.slow_start.reset()
 
-    def recool(self) -> None:
-        """Fall back to the cold allowance."""
-        self.warmth.recool()
+    def reset_slow_start(self) -> None:
+        """Return to the cold allowance."""
+        self.slow_start.reset()
 
 
 def _warm_slots(target: Target) -> int:
-    """Return what a home lends at most; the rest is for a successor to begin on."""
+    """Return the most to allocate; the rest is the reserve for a new owner."""
     return max(target.cold_slots, target.maximum_slots - target.cold_slots)
 
 
-def _fair_share(wants: list[int], total: int) -> int:
-    """Return the largest share that, given to each at most, fits the total."""
+def _fair_share(demands: list[int], total: int) -> int:
+    """Return the max-min fair share: the largest cap per entry that fits the total."""
     left = max(0, total)
-    ordered = sorted(wants)
-    for index, want in enumerate(ordered):
+    ordered = sorted(demands)
+    for index, requested in enumerate(ordered):
         share = left // (len(ordered) - index)
-        if want > share:
+        if requested > share:
             return share
-        left -= want
-    return max([left, *wants])
+        left -= requested
+    return max([left, *demands])
--- a/endivesill/routing/directory.py
+++ b/endivesill/routing/directory.py
@@ -1,4 +1,4 @@
-"""The targets of each service as candidates, indexed once a configuration."""
+"""Candidate targets by service, re-indexed when the configuration changes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 __all__ = ["SUBSET_SIZE", "TargetDirectory"]
 
 SUBSET_SIZE = 16
-NEAR_SIZE = 12
+LOCAL_SUBSET_SIZE = 12
 REFRESH_S = 1.0
 
 
 @attrs.define
 class _ServiceTargets:
-    """The targets of a service in this entry's order, and those in use now."""
+    """The targets of a service in this entry's order, and its current candidates."""
 
     ordered: list[Target]
     candidates: list[Candidate] = attrs.Factory(list)
@@ -31,16 +31,16 @@
 class TargetDirectory:
     """Candidates by service, limited to a subset for this entry.
 
-    The subset is `SUBSET_SIZE` eligible targets: up to `NEAR_SIZE` of the entry's
-    own data centre, then those of its region and the others, each in the order
-    of a hash of the entry and the target. So entries spread over all targets,
-    each talks to few homes, most of them near, and a data centre that is full
-    has others to turn to.
+    The subset has up to `SUBSET_SIZE` eligible targets: up to `LOCAL_SUBSET_SIZE`
+    of the entry's own data centre, then those of its region and of the others,
+    each group ordered by a hash of entry and target. The hash spreads the entries
+    over all targets. The subset keeps the owners that an entry talks to few and
+    mostly local, and its remote part takes the overflow of a full data centre.
 
     Args:
       configuration: returns the configuration in force.
       entry_name: the name of this VM.
-      is_leaving: tells of a target's name whether the target leaves.
+      is_leaving: tells by a target's name whether the target is leaving.
       data_centre: the data centre of this VM.
     """
 
@@ -61,7 +61,7 @@
         self.observations: dict[str, Observation] = {}
 
     def candidates(self, service_name: str, now_s: float) -> list[Candidate]:
-        """Return the candidates of a service; the list is shared."""
+        """Return the candidates of a service; callers must not modify the list."""
         if self._configuration() is not self._indexed:
             self._index()
         service = self._services.get(service_name)
@@ -73,21 +73,21 @@
         return service.candidates
 
     def candidate(self, target: Target) -> Candidate:
-        """Return the one candidate object of a target."""
+        """Return the candidate of a target, creating it at the first call."""
         found = self._candidates.get(target.name)
         if found is None:
             found = self._candidates[target.name] = Candidate(target)
         return found
 
     def observation(self, target_name: str) -> Observation:
-        """Return what was observed of a target."""
+        """Return the statistics of a target, creating them at the first call."""
         found = self.observations.get(target_name)
         if found is None:
             found = self.observations[target_name] = Observation()
         return found
 
     def is_eligible(self, target: Target) -> bool:
-        """Tell whether a target may be given new work."""
+        """Tell whether a target may receive new requests."""
         configuration = self._configuration()
         current = configuration.targets.get(target.name)
         if current is None or not configuration.takes_new_work(current):
@@ -106,20 +106,20 @@
         }
         for name in list(self._candidates):
             if name not in configuration.targets:
-                self._drop(name)
+                self._remove(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         if not self._candidates[name].outstanding:
             del self._candidates[name]
             self.observations.pop(name, None)
 
     def _rank(self, target: Target) -> tuple[int, bytes]:
         text = f"{self._entry_name}\0{target.name}".encode()
-        spread = hashlib.blake2b(text, digest_size=8).digest()
-        return self._distance(target.data_centre), spread
+        rank_hash = hashlib.blake2b(text, digest_size=8).digest()
+        return self._distance(target.data_centre), rank_hash
 
     def _distance(self, data_centre: str) -> int:
-        """Return 0 for the own data centre, 1 for its region, 2 beyond."""
+        """Return 0 within this data centre, 1 within its region, else 2."""
         if data_centre == self._data_centre:
             return 0
         data_centres = self._configuration().data_centres
@@ -131,13 +131,13 @@
 
     def _refresh(self, service: _ServiceTargets) -> None:
         eligible = [t for t in service.ordered if self.is_eligible(t)]
-        near = sum(t.data_centre == self._data_centre for t in eligible)
-        first = min(near, NEAR_SIZE)
-        subset = eligible[:first] + eligible[near:] + eligible[first:near]
-        service.candidates = [self._current(t) for t in subset[:SUBSET_SIZE]]
+        local_count = sum(t.data_centre == self._data_centre for t in eligible)
+        first = min(local_count, LOCAL_SUBSET_SIZE)
+        subset = eligible[:first] + eligible[local_count:] + eligible[first:local_count]
+        service.candidates = [self._current_candidate(t) for t in subset[:SUBSET_SIZE]]
 
-    def _current(self, target: Target) -> Candidate:
-        """Return a target's candidate with the target as configured now."""
+    def _current_candidate(self, target: Target) -> Candidate:
+        """Return a target's candidate, updated to the target as configured now."""
         candidate = self.candidate(target)
         candidate.target = target
         return candidate
--- a/endivesill/routing/events.py
+++ b/endivesill/routing/events.py
@@ -1,4 +1,4 @@
-"""Log events of the routing."""
+"""Log events of routing and credits."""
 
 from endivesill import events
 
@@ -10,14 +10,14 @@
     "TARGET_RECOOLED",
 ]
 
-ROUTE_CHOSEN = events.define(3001, "route-chosen", "A request was given a target.")
+ROUTE_CHOSEN = events.define(3001, "route-chosen", "A request was granted a target.")
 ROUTE_REFUSED = events.define(3002, "route-refused", "A request was refused.")
 CREDITS_REVOKED = events.define(
-    3010, "credits-revoked", "A home took back all credits of a target."
+    3010, "credits-revoked", "The owner of a target revoked all its credits."
 )
 HOME_TAKEN = events.define(
-    3011, "home-taken", "This VM began to lend the credits of a target."
+    3011, "home-taken", "This VM began to allocate the credits of a target."
 )
 TARGET_RECOOLED = events.define(
-    3012, "target-recooled", "An entry saw a target become slow all at once."
+    3012, "target-recooled", "An entry suspects that a target has become cold."
 )
--- a/endivesill/routing/grant.py
+++ b/endivesill/routing/grant.py
@@ -1,4 +1,4 @@
-"""Grants of the router: they account for an attempt until it is finished."""
+"""Grants of the router, with the resources reserved for an attempt."""
 
 from __future__ import annotations
 
@@ -7,62 +7,62 @@
 from endivesill.routing.messages import Grant, Outcome, RouteRequest
 from endivesill.routing.policy import Candidate
 
-__all__ = ["GrantKeeper", "RoutedGrant"]
+__all__ = ["GrantIssuer", "RoutedGrant"]
 
-GAP_SAMPLE_BLOCKS = 8
-UPDATE_MINIMUM_TOKENS = 32
+BLOCKS_PER_GAP_SAMPLE = 8
+MINIMUM_UPDATE_TOKENS = 32
 
 
-class GrantKeeper(Protocol):
+class GrantIssuer(Protocol):
     """What a grant needs of its router."""
 
     def now_s(self) -> float:
-        """Return the timer's clock."""
+        """Return the timer's time."""
 
-    def still_holds(self, grant: RoutedGrant) -> bool:
-        """Tell whether the attempt may start."""
+    def is_valid(self, grant: RoutedGrant) -> bool:
+        """Tell whether the attempt may start now."""
 
     def reservation_tokens(self, request: RouteRequest, produced: int) -> int:
-        """Return the memory to reserve after so many output tokens."""
+        """Return the memory tokens to reserve after some output tokens."""
 
     def first_token(self, grant: RoutedGrant, time_s: float) -> None:
-        """Note the first token."""
+        """Record the time to first token."""
 
     def gap(self, grant: RoutedGrant, gap_s: float) -> None:
-        """Note a gap between tokens."""
+        """Record a gap between output tokens."""
 
     def released(self, grant: RoutedGrant, outcome: Outcome) -> None:
-        """Note the end of the attempt."""
+        """Record the outcome; the reservations have been released."""
 
 
 class RoutedGrant(Grant):
-    """A grant with its reservations.
+    """A grant that holds reservations at its target until it is finished.
 
     Args:
-      keeper: the router.
-      request: what was asked.
-      candidate: the target's account at this entry.
+      issuer: the router.
+      request: the request.
+      candidate: the target with this entry's load, to which the attempt is added.
       uncached_tokens: prompt tokens that the target has to prefill.
-      reserved_tokens: memory that is reserved for it at first.
+      reserved_tokens: memory tokens reserved initially.
     """
 
     def __init__(
         self,
-        keeper: GrantKeeper,
+        issuer: GrantIssuer,
         request: RouteRequest,
         candidate: Candidate,
         uncached_tokens: int,
         reserved_tokens: int,
     ) -> None:
         super().__init__(request, candidate.target)
-        self._keeper = keeper
+        self._issuer = issuer
         self.candidate = candidate
         self.produced = 0
         self._prefill_tokens = uncached_tokens
-        self._started_s = keeper.now_s()
-        self._last_s = self._started_s
+        self._started_s = issuer.now_s()
+        self._last_token_s = self._started_s
         self._blocks = 0
-        self._update_at = UPDATE_MINIMUM_TOKENS
+        self._next_update_tokens = MINIMUM_UPDATE_TOKENS
         self._finished = False
         self._reserved_tokens = reserved_tokens
         candidate.started()
@@ -70,29 +70,29 @@
         candidate.reserved_tokens += self._reserved_tokens
 
     def may_start(self) -> bool:
-        """Tell whether the lease, the target and the credits still hold."""
-        return not self._finished and self._keeper.still_holds(self)
+        """Tell whether the lease, the target and the credits still permit a start."""
+        return not self._finished and self._issuer.is_valid(self)
 
     def tokens(self, count: int) -> None:
-        """Count tokens, and correct the reservation now and then."""
-        now_s = self._keeper.now_s()
+        """Count output tokens; the reservation is updated periodically."""
+        now_s = self._issuer.now_s()
         first = not self.produced
         self.produced += count
         if first:
             self._end_prefill()
-            self._keeper.first_token(self, now_s - self._started_s)
+            self._issuer.first_token(self, now_s - self._started_s)
         else:
             self._blocks += 1
-            if self._blocks % GAP_SAMPLE_BLOCKS == 0:
-                self._keeper.gap(self, now_s - self._last_s)
-        self._last_s = now_s
-        if self.produced >= self._update_at:
-            self._update()
-
-    def _update(self) -> None:
-        step = max(UPDATE_MINIMUM_TOKENS, self.produced // 4)
-        self._update_at = self.produced + step
-        reserved = self._keeper.reservation_tokens(self.request, self.produced)
+            if self._blocks % BLOCKS_PER_GAP_SAMPLE == 0:
+                self._issuer.gap(self, now_s - self._last_token_s)
+        self._last_token_s = now_s
+        if self.produced >= self._next_update_tokens:
+            self._update_reservation()
+
+    def _update_reservation(self) -> None:
+        step = max(MINIMUM_UPDATE_TOKENS, self.produced // 4)
+        self._next_update_tokens = self.produced + step
+        reserved = self._issuer.reservation_tokens(self.request, self.produced)
         self.candidate.reserved_tokens += reserved - self._reserved_tokens
         self._reserved_tokens = reserved
 
@@ -101,11 +101,11 @@
         self._prefill_tokens = 0
 
     def finished(self, outcome: Outcome) -> None:
-        """Give everything back; a second call does nothing."""
+        """Release all reservations; further calls do nothing."""
         if self._finished:
             return
         self._finished = True
         self._end_prefill()
         self.candidate.ended()
         self.candidate.reserved_tokens -= self._reserved_tokens
-        self._keeper.released(self, outcome)
+        self._issuer.released(self, outcome)
--- a/endivesill/routing/messages.py
+++ b/endivesill/routing/messages.py
@@ -1,4 +1,4 @@
-"""What the entry asks of the router and what it reports back."""
+"""Messages between an entry and its router."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt at a target ended.
+    """The outcome of an attempt at a target.
 
-    DONE: answered in full. CANCELLED: the caller went away. NOT_RUN: the target
-    refused it or could not be reached. FAILED: the target broke off.
+    DONE: the response is complete. CANCELLED: the caller disconnected. NOT_RUN: the
+    target refused the attempt or could not be reached. FAILED: the response ended
+    prematurely.
     """
 
     DONE = "done"
@@ -26,18 +27,18 @@
 
 @attrs.frozen
 class RouteRequest:
-    """A request that looks for a target.
+    """A request to be routed to a target.
 
     Attributes:
-      request_id: the caller's request, the same over all attempts.
-      service: the service asked for.
-      organisation: who asks.
+      request_id: id of the caller's request, the same for all attempts.
+      service: the requested service.
+      organisation: the caller's organisation.
       prompt_tokens: estimated length of the prompt; 0 for a plain service.
       prefix: hashes of the prompt's prefixes, shortest first.
-      maximum_output_tokens: the caller's own bound; 0 for none.
-      priority: 0 is first.
-      deadline_s: when the first byte must have come, on the timer's clock.
-      excluded: targets that have failed this request already.
+      maximum_output_tokens: limit set by the caller; 0 for none.
+      priority: 0 is the highest.
+      deadline_s: deadline of the first response byte, on the timer's clock.
+      excluded: names of targets that have already failed this request.
     """
 
     request_id: str
@@ -52,13 +53,13 @@
 
 
 class Grant:
-    """Leave to start one attempt at one target.
+    """Permission to start one attempt at one target.
 
-    The holder reports what happens; `finished` must be called once.
+    The holder reports the progress of the attempt and must call `finished` once.
 
     Args:
-      request: what was asked.
-      target: where the attempt may go.
+      request: the request.
+      target: the target of the attempt.
     """
 
     def __init__(self, request: RouteRequest, target: Target) -> None:
@@ -66,11 +67,11 @@
         self.target = target
 
     def may_start(self) -> bool:
-        """Tell whether the grant still holds; asked just before the first byte."""
+        """Tell whether the grant is valid; called before the first byte is sent."""
         return True
 
     def tokens(self, count: int) -> None:
-        """Report tokens that have arrived, in one block."""
+        """Report the number of output tokens received in one block."""
 
     def finished(self, outcome: Outcome) -> None:
         """Report the end of the attempt."""
--- a/endivesill/routing/policy.py
+++ b/endivesill/routing/policy.py
@@ -1,7 +1,7 @@
 """Routing policies, by name.
 
-A policy picks one of the candidate targets. The baseline is the least
-outstanding requests under a fixed limit; `credit` is measured against it.
+A policy chooses one of the candidate targets. `least-outstanding` is the baseline
+that `credit` is compared with.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 import attrs
 
 from endivesill.configuration.model import Target
-from endivesill.routing.credits import Loan
+from endivesill.routing.credits import Allocation
 from endivesill.routing.messages import RouteRequest
 from endivesill.routing.prefixes import NO_HOLDERS, PrefixIndex
 from endivesill.routing.queue import FairQueue, FifoQueue, WaitQueue
 
-__all__ = ["POLICIES", "Candidate", "Choice", "Policy", "policy"]
+__all__ = ["POLICIES", "Candidate", "Decision", "Policy", "policy"]
 
 AFFINITY_LIMIT_TOKENS = 1024
 SLOTS_COST_TOKENS = 1024
@@ -34,59 +34,61 @@
 
 @attrs.define(eq=False)
 class Candidate:
-    """A target as a policy sees it.
+    """A target with this entry's load and credits there.
 
     Attributes:
       target: the target.
-      outstanding: requests that this entry has running there.
-      reserved_tokens: memory tokens that they have reserved.
-      prefill_tokens: prompt tokens sent that have given no token yet.
-      loan: this entry's credits there.
-      least_outstanding: the fewest outstanding since the ask last answered.
-      least_since_ask: the fewest outstanding since the last ask.
+      outstanding: requests in flight.
+      reserved_tokens: memory tokens that those requests have reserved.
+      prefill_tokens: prompt tokens of requests without a first token yet.
+      allocation: the entry's credits; None without any.
+      minimum_outstanding: the fewest requests in flight since the last credit
+        request that was answered.
+      minimum_since_request: the fewest requests in flight since the last credit
+        request.
     """
 
     target: Target
     outstanding: int = 0
     reserved_tokens: int = 0
     prefill_tokens: int = 0
-    loan: Loan | None = None
-    least_outstanding: int = 0
-    least_since_ask: int = 0
+    allocation: Allocation | None = None
+    minimum_outstanding: int = 0
+    minimum_since_request: int = 0
 
     def started(self) -> None:
-        """Count a request that was given the target."""
+        """Count a request that was granted the target."""
         self.outstanding += 1
 
     def ended(self) -> None:
-        """Count the end of a request there."""
+        """Count the end of a request."""
         self.outstanding -= 1
-        self.least_outstanding = min(self.least_outstanding, self.outstanding)
-        self.least_since_ask = min(self.least_since_ask, self.outstanding)
+        self.minimum_outstanding = min(self.minimum_outstanding, self.outstanding)
+        self.minimum_since_request = min(self.minimum_since_request, self.outstanding)
 
-    def asked(self) -> int:
-        """Return the fewest outstanding since the ask that was last answered."""
-        self.least_since_ask = self.outstanding
-        return self.least_outstanding
+    def credit_requested(self) -> int:
+        """Begin a new period of the minimum; return the minimum to report."""
+        self.minimum_since_request = self.outstanding
+        return self.minimum_outstanding
 
-    def answered(self, loan: Loan | None) -> None:
-        """Take the loan that an ask brought."""
-        self.loan = loan
-        self.least_outstanding = self.least_since_ask
+    def credit_received(self, allocation: Allocation | None) -> None:
+        """Set the allocation, or None, that ends the reported period."""
+        self.allocation = allocation
+        self.minimum_outstanding = self.minimum_since_request
 
 
 @attrs.define
-class Choice:
-    """A decision as it is made.
+class Decision:
+    """Input and result of one choice of a target.
 
     Attributes:
-      request: what looks for a target.
+      request: the request to place.
       now_s: the time of the decision.
-      output_tokens: memory that its output will need, as reserved.
-      prefixes: what the targets cache, if known.
-      uncached_tokens: prompt tokens to prefill at the target chosen.
-      rejected: how many candidates were rejected, by reason.
-      short_of_credit: candidates whose credits were too few.
+      output_tokens: memory tokens to reserve for the output.
+      prefixes: index of the prefixes that the targets cache, if known.
+      uncached_tokens: prompt tokens to prefill at the chosen target.
+      rejected: number of rejected candidates by reason.
+      short_of_credit: candidates rejected for a lack of credits.
     """
 
     request: RouteRequest
@@ -101,19 +103,19 @@
         """Count a rejected candidate."""
         self.rejected[reason] = self.rejected.get(reason, 0) + 1
 
-    def reject_short(self, reason: str, candidate: Candidate) -> None:
-        """Count a candidate whose credits are too few."""
+    def reject_short_of_credit(self, reason: str, candidate: Candidate) -> None:
+        """Count a candidate rejected for a lack of credits."""
         self.reject(reason)
         self.short_of_credit.append(candidate)
 
     def holders(self) -> Set[str]:
-        """Return the targets that hold a part of the prompt."""
+        """Return the names of the targets that cache a prefix of the prompt."""
         if self.prefixes is None:
             return NO_HOLDERS
         return self.prefixes.holders(self.request.prefix)
 
     def cached_tokens(self, candidate: Candidate) -> int:
-        """Return how much of the prompt a target holds; never all of it."""
+        """Return how many prompt tokens a target caches; at least one is uncached."""
         assert self.prefixes is not None
         name = candidate.target.name
         cached = self.prefixes.cached_tokens(name, self.request.prefix)
@@ -124,22 +126,22 @@
     """Base of the routing policies.
 
     Attributes:
-      needs_credit: whether a target may only be used on its home's credits.
-      queue: the kind of queue that requests wait in.
+      needs_credit: whether a request needs credits from the target's owner.
+      queue: the class of the queue in which requests wait.
     """
 
     needs_credit = False
     queue: type[WaitQueue] = FifoQueue
 
     def choose(
-        self, choice: Choice, candidates: Sequence[Candidate]
+        self, decision: Decision, candidates: Sequence[Candidate]
     ) -> Candidate | None:
-        """Return the target to use now, or None to wait."""
+        """Return the target to use now, or None if the request has to wait."""
         raise NotImplementedError
 
 
 def policy(name: str) -> Callable[[PolicyT], PolicyT]:
-    """Register a policy under the name that services give."""
+    """Register a policy class under the name used in a service's configuration."""
 
     def register(kind: PolicyT) -> PolicyT:
         POLICIES[name] = kind
@@ -150,57 +152,58 @@
 
 @policy("least-outstanding")
 class LeastOutstandingPolicy(Policy):
-    """The baseline: fewest outstanding requests, fixed limit a target."""
+    """Fewest requests in flight, with the fixed limit of each target."""
 
     def choose(
-        self, choice: Choice, candidates: Sequence[Candidate]
+        self, decision: Decision, candidates: Sequence[Candidate]
     ) -> Candidate | None:
-        """Return the least loaded target under its limit."""
+        """Return the target with the fewest requests in flight under its limit."""
         free = [c for c in candidates if c.outstanding < c.target.maximum_slots]
         if not free:
-            choice.rejected["limit"] = len(candidates)
+            decision.rejected["limit"] = len(candidates)
             return None
         chosen = min(free, key=lambda c: (c.outstanding, c.target.name))
-        choice.uncached_tokens = choice.request.prompt_tokens
+        decision.uncached_tokens = decision.request.prompt_tokens
         return chosen
 
 
 @policy("credit")
 class CreditPolicy(Policy):
-    """Credits, memory reservations, paced prefill and prefix affinity.
+    """Credits, memory reservations, limited prefill and prefix affinity.
 
-    Each candidate that has room costs the tokens to prefill there, those ahead
-    of them, a price for how full its memory is, and the tokens of others that
-    the prefill would hold up. A cached prefix saves at most
-    `AFFINITY_LIMIT_TOKENS`, so that it never outweighs a fuller target by more.
+    The cost of a candidate with capacity is the sum of the prompt tokens to
+    prefill, the prompt tokens already in prefill there, a price for its memory
+    utilisation, and the delay that the prefill causes to running requests. A
+    cached prefix saves at most `AFFINITY_LIMIT_TOKENS`, which bounds the extra
+    load accepted for the sake of affinity.
     """
 
     needs_credit = True
     queue = FairQueue
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._sample_start = 0
 
     def choose(
-        self, choice: Choice, candidates: Sequence[Candidate]
+        self, decision: Decision, candidates: Sequence[Candidate]
     ) -> Candidate | None:
-        """Return the cheapest target with credits for the request."""
-        holders = choice.holders()
+        """Return the target of least cost that has credits for the request."""
+        holders = decision.holders()
         if len(candidates) <= SAMPLE_SIZE:
-            return self._cheapest(choice, candidates, holders)
+            return self._cheapest(decision, candidates, holders)
         sample = self._sample(candidates, holders)
-        chosen = self._cheapest(choice, sample, holders)
+        chosen = self._cheapest(decision, sample, holders)
         if chosen is not None:
             return chosen
         rest = [candidate for candidate in candidates if candidate not in sample]
-        return self._cheapest(choice, rest, holders)
+        return self._cheapest(decision, rest, holders)
 
     def _sample(
         self, candidates: Sequence[Candidate], holders: Set[str]
     ) -> list[Candidate]:
-        """Return some candidates by turns, and a few that hold the prefix."""
+        """Return a rotating sample of candidates plus a few that cache the prefix."""
         count = len(candidates)
-        first = self._turn = (self._turn + SAMPLE_SIZE) % count
+        first = self._sample_start = (self._sample_start + SAMPLE_SIZE) % count
         sample = [candidates[(first + n) % count] for n in range(SAMPLE_SIZE)]
         if holders:
             cached = [c for c in candidates if c.target.name in holders]
@@ -208,39 +211,39 @@
         return sample
 
     def _cheapest(
-        self, choice: Choice, candidates: Sequence[Candidate], holders: Set[str]
+        self, decision: Decision, candidates: Sequence[Candidate], holders: Set[str]
     ) -> Candidate | None:
         best: Candidate | None = None
         best_cost = math.inf
-        prompt_tokens = choice.request.prompt_tokens
-        need_tokens = prompt_tokens + choice.output_tokens
+        prompt_tokens = decision.request.prompt_tokens
+        need_tokens = prompt_tokens + decision.output_tokens
         for candidate in candidates:
-            loan = candidate.loan
-            if loan is None or loan.expires_s <= choice.now_s:
-                choice.reject_short("no-credit", candidate)
+            allocation = candidate.allocation
+            if allocation is None or allocation.expires_s <= decision.now_s:
+                decision.reject_short_of_credit("no-credit", candidate)
                 continue
-            if candidate.outstanding >= loan.slots:
-                choice.reject_short("slots", candidate)
+            if candidate.outstanding >= allocation.slots:
+                decision.reject_short_of_credit("slots", candidate)
                 continue
             reserved_tokens = candidate.reserved_tokens + need_tokens
-            if loan.tokens and reserved_tokens > loan.tokens:
-                choice.reject_short("memory", candidate)
+            if allocation.tokens and reserved_tokens > allocation.tokens:
+                decision.reject_short_of_credit("memory", candidate)
                 continue
             cached = 0
             if candidate.target.name in holders:
-                cached = choice.cached_tokens(candidate)
+                cached = decision.cached_tokens(candidate)
             uncached = prompt_tokens - cached
             pending = candidate.prefill_tokens
-            if pending and pending + uncached > loan.prefill_tokens:
-                choice.reject("prefill")
+            if pending and pending + uncached > allocation.prefill_tokens:
+                decision.reject("prefill")
                 continue
             cost = float(pending + prompt_tokens - min(cached, AFFINITY_LIMIT_TOKENS))
-            if loan.tokens:
-                cost += MEMORY_COST_TOKENS * reserved_tokens / loan.tokens
+            if allocation.tokens:
+                cost += MEMORY_COST_TOKENS * reserved_tokens / allocation.tokens
                 cost += uncached * candidate.outstanding / STRETCH_DIVISOR
             else:
-                cost += SLOTS_COST_TOKENS * candidate.outstanding / loan.slots
+                cost += SLOTS_COST_TOKENS * candidate.outstanding / allocation.slots
             if cost < best_cost:
                 best, best_cost = candidate, cost
-                choice.uncached_tokens = uncached
+                decision.uncached_tokens = uncached
         return best
--- a/endivesill/routing/prefixes.py
+++ b/endivesill/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefix hashes of prompts and the index of which target caches which prefix."""
+"""Hashes of prompt prefixes, and an index of the targets that cache them."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 MAXIMUM_PREFIX_BLOCKS = 64
 HASH_BYTES = 8
 BLOCKS_PER_TARGET = 4096
-STALE_TRUST = 0.5
+STALE_WEIGHT = 0.5
 NO_HOLDERS: frozenset[str] = frozenset()
 
 
 def prefix_hashes(prompt: str) -> tuple[str, ...]:
-    """Return the hashes of a prompt's whole leading blocks, shortest first.
+    """Return the hashes of a prompt's prefixes of whole blocks, shortest first.
 
     Args:
-      prompt: the prompt's text; a block is `PREFIX_BLOCK_TOKENS` tokens of
+      prompt: the text; a block is `PREFIX_BLOCK_TOKENS` tokens, each taken as
         `CHARACTERS_PER_TOKEN` characters.
     """
     size = PREFIX_BLOCK_TOKENS * CHARACTERS_PER_TOKEN
@@ -42,21 +42,22 @@
 
 
 class _TargetPrefixes:
-    """The prefixes that one target is thought to hold, oldest first."""
+    """The prefixes presumably cached by one target, least recently added first."""
 
     def __init__(self) -> None:
         self.boot_id = ""
         self.sequence = 0
-        self.stale = False
+        self.is_stale = False
         self.blocks: collections.OrderedDict[str, None] = collections.OrderedDict()
 
 
 class PrefixIndex:
-    """Which target holds which prefix, from cache events and own placements.
+    """Index of the prefixes that targets cache.
 
-    A gap in a target's sequence numbers marks its part stale: its prefixes count
-    for less and `needs_resync` is true until the events have been read again.
-    Placements of this entry fill the index before the late events come.
+    It is maintained from the targets' cache events and, as those lag, from the
+    placements of this entry. A gap in a target's sequence numbers marks its
+    prefixes stale: they count for less, and `needs_resync` is true until all
+    events have been read again.
     """
 
     def __init__(self) -> None:
@@ -64,114 +65,114 @@
         self._holders: dict[str, set[str]] = {}
 
     def cached_tokens(self, target_name: str, prefix: tuple[str, ...]) -> int:
-        """Return how many leading tokens of a prompt a target holds."""
-        part = self._targets.get(target_name)
-        if part is None:
+        """Return how many leading tokens of a prompt a target caches."""
+        prefixes = self._targets.get(target_name)
+        if prefixes is None:
             return 0
         blocks = 0
         for block in prefix:
-            if block not in part.blocks:
+            if block not in prefixes.blocks:
                 break
             blocks += 1
         tokens = blocks * PREFIX_BLOCK_TOKENS
-        return int(tokens * STALE_TRUST) if part.stale else tokens
+        return int(tokens * STALE_WEIGHT) if prefixes.is_stale else tokens
 
     def holders(self, prefix: tuple[str, ...]) -> Set[str]:
-        """Return the targets that hold the first block of a prompt at least."""
+        """Return the names of the targets that cache the first block of a prompt."""
         return self._holders.get(prefix[0], NO_HOLDERS) if prefix else NO_HOLDERS
 
-    def place(self, target_name: str, prefix: tuple[str, ...]) -> None:
-        """Note that a prompt was sent to a target, which will cache it.
+    def record_placement(self, target_name: str, prefix: tuple[str, ...]) -> None:
+        """Record that a prompt was sent to a target, which will cache it.
 
         Args:
           target_name: the target.
-          prefix: the hashes of the prompt's prefixes; one at least.
+          prefix: hashes of the prompt's prefixes; at least one.
         """
-        part = self._part(target_name)
-        if prefix[-1] in part.blocks:
+        prefixes = self._prefixes_of(target_name)
+        if prefix[-1] in prefixes.blocks:
             return
         for block in prefix:
-            self._add(target_name, part, block)
+            self._add(target_name, prefixes, block)
 
     def apply(self, target_name: str, events: CacheEvents) -> bool:
-        """Apply a poll's events.
+        """Apply the events of a poll; those applied before are skipped.
 
         Returns:
-          Whether the part is whole; False after a gap.
+          False if events are missing and a resync is needed.
         """
-        part = self._part(target_name)
-        if events.boot_id != part.boot_id:
+        prefixes = self._prefixes_of(target_name)
+        if events.boot_id != prefixes.boot_id:
             self.clear(target_name)
-            part.boot_id = events.boot_id
-            part.sequence = 0
+            prefixes.boot_id = events.boot_id
+            prefixes.sequence = 0
             if events.first_sequence > 1:
-                part.sequence = events.first_sequence - 1
+                prefixes.sequence = events.first_sequence - 1
         for event in events.events:
-            if event.sequence <= part.sequence:
+            if event.sequence <= prefixes.sequence:
                 continue
-            if event.sequence != part.sequence + 1:
-                part.stale = True
-            part.sequence = event.sequence
+            if event.sequence != prefixes.sequence + 1:
+                prefixes.is_stale = True
+            prefixes.sequence = event.sequence
             if event.kind == "stored":
-                self._add(target_name, part, event.prefix)
+                self._add(target_name, prefixes, event.prefix)
             elif event.kind == "evicted":
-                self._remove(target_name, part, event.prefix)
+                self._remove(target_name, prefixes, event.prefix)
             else:
                 self.clear(target_name)
-        return not part.stale
+        return not prefixes.is_stale
 
-    def position(self, target_name: str) -> int:
-        """Return the last sequence number that was applied."""
-        part = self._targets.get(target_name)
-        return part.sequence if part else 0
+    def last_sequence(self, target_name: str) -> int:
+        """Return the last sequence number applied; 0 if none was."""
+        prefixes = self._targets.get(target_name)
+        return prefixes.sequence if prefixes else 0
 
     def needs_resync(self, target_name: str) -> bool:
-        """Tell whether events of the target were lost."""
-        part = self._targets.get(target_name)
-        return bool(part and part.stale)
+        """Tell whether events of the target are missing."""
+        prefixes = self._targets.get(target_name)
+        return bool(prefixes and prefixes.is_stale)
 
     def resync(self, target_name: str, events: CacheEvents) -> None:
-        """Rebuild a target's part from all events that it still has."""
+        """Rebuild a target's prefixes from all events that it still has."""
         self.clear(target_name)
-        part = self._part(target_name)
-        part.boot_id = events.boot_id
-        part.stale = False
+        prefixes = self._prefixes_of(target_name)
+        prefixes.boot_id = events.boot_id
+        prefixes.is_stale = False
         for event in events.events:
             if event.kind == "stored":
-                self._add(target_name, part, event.prefix)
+                self._add(target_name, prefixes, event.prefix)
             elif event.kind == "evicted":
-                self._remove(target_name, part, event.prefix)
+                self._remove(target_name, prefixes, event.prefix)
             else:
                 self.clear(target_name)
-            part.sequence = event.sequence
+            prefixes.sequence = event.sequence
 
     def clear(self, target_name: str) -> None:
-        """Forget a target's prefixes."""
-        part = self._targets.get(target_name)
-        if part is None:
+        """Remove a target's prefixes."""
+        prefixes = self._targets.get(target_name)
+        if prefixes is None:
             return
-        for block in list(part.blocks):
-            self._remove(target_name, part, block)
+        for block in list(prefixes.blocks):
+            self._remove(target_name, prefixes, block)
 
-    def forget(self, target_name: str) -> None:
-        """Drop a target that is no longer configured."""
+    def remove_target(self, target_name: str) -> None:
+        """Remove a target that is no longer configured."""
         self.clear(target_name)
         self._targets.pop(target_name, None)
 
-    def _part(self, target_name: str) -> _TargetPrefixes:
+    def _prefixes_of(self, target_name: str) -> _TargetPrefixes:
         return self._targets.setdefault(target_name, _TargetPrefixes())
 
-    def _add(self, target_name: str, part: _TargetPrefixes, block: str) -> None:
-        part.blocks[block] = None
-        part.blocks.move_to_end(block)
+    def _add(self, target_name: str, prefixes: _TargetPrefixes, block: str) -> None:
+        prefixes.blocks[block] = None
+        prefixes.blocks.move_to_end(block)
         self._holders.setdefault(block, set()).add(target_name)
-        if len(part.blocks) > BLOCKS_PER_TARGET:
-            self._remove(target_name, part, next(iter(part.blocks)))
+        if len(prefixes.blocks) > BLOCKS_PER_TARGET:
+            self._remove(target_name, prefixes, next(iter(prefixes.blocks)))
 
-    def _remove(self, target_name: str, part: _TargetPrefixes, block: str) -> None:
-        if block not in part.blocks:
+    def _remove(self, target_name: str, prefixes: _TargetPrefixes, block: str) -> None:
+        if block not in prefixes.blocks:
             return
-        del part.blocks[block]
+        del prefixes.blocks[block]
         names = self._holders[block]
         names.discard(target_name)
         if not names:
--- a/endivesill/routing/queue.py
+++ b/endivesill/routing/queue.py
@@ -1,8 +1,8 @@
-"""Queues of requests that wait for a target, with an estimate of the wait.
+"""Queues of requests that wait for a target, with estimates of the wait.
 
-`FairQueue` is fair between organisations by token cost and weight (start-time
-fair queuing in each priority) and lets long waits overtake higher priorities.
-`FifoQueue` is the baseline.
+`FairQueue` shares the capacity between organisations by token cost and weight
+(start-time fair queuing within each priority) and ages waiting requests so that
+lower priorities are not starved. `FifoQueue` is the baseline.
 """
 
 from __future__ import annotations
@@ -18,23 +18,26 @@
 
 from endivesill.routing.messages import Grant, RouteRequest
 
-__all__ = ["DrainRate", "FairQueue", "FifoQueue", "Waiter", "WaitQueue"]
+__all__ = ["BacklogThroughput", "FairQueue", "FifoQueue", "Waiter", "WaitQueue"]
 
-AGING_S = 2.0
-DRAIN_WINDOW_S = 10.0
-DRAIN_MINIMUM_S = 2.0
+AGING_S_PER_LEVEL = 2.0
+THROUGHPUT_WINDOW_S = 10.0
+THROUGHPUT_MINIMUM_S = 2.0
 
 
 @attrs.define(eq=False)
 class Waiter:
-    """A request that waits.
+    """A waiting request.
 
     Attributes:
-      request: what is asked.
-      cost_tokens: what it counts for in the queue.
-      enqueued_s: when it began to wait.
-      future: resolved with the grant, or with the refusal.
-      decided_s: when it was refused.
+      request: the request.
+      cost_tokens: its cost in the queue.
+      enqueued_s: when it arrived.
+      future: resolved with the grant or the refusal.
+      start_tag: its virtual start time in start-time fair queuing.
+      sequence_number: its order of arrival in the queue.
+      refused_s: when it was refused.
+      queued: whether it is in a fair queue.
     """
 
     request: RouteRequest
@@ -42,69 +45,69 @@
     enqueued_s: float
     future: asyncio.Future[Grant]
     start_tag: float = 0.0
-    number: int = 0
-    decided_s: float = 0.0
+    sequence_number: int = 0
+    refused_s: float = 0.0
     queued: bool = False
 
 
-class DrainRate:
-    """The rate at which a backlog has been served lately."""
+class BacklogThroughput:
+    """Recent throughput while requests were waiting, with exponential decay."""
 
     def __init__(self) -> None:
         self._cost_tokens = 0.0
         self._busy_s = 0.0
 
     def observe(self, cost_tokens: float, busy_s: float) -> None:
-        """Count what was served while a backlog stood for a time."""
+        """Record the cost served during a time in which requests were waiting."""
         if busy_s > 0:
-            fade = math.exp(-busy_s / DRAIN_WINDOW_S)
-            self._cost_tokens *= fade
-            self._busy_s = self._busy_s * fade + busy_s
+            decay = math.exp(-busy_s / THROUGHPUT_WINDOW_S)
+            self._cost_tokens *= decay
+            self._busy_s = self._busy_s * decay + busy_s
         self._cost_tokens += cost_tokens
 
     def tokens_per_s(self, next_tokens: float) -> float | None:
-        """Return the rate, or None while too little was seen.
+        """Return the throughput, or None without enough observations.
 
         Args:
-          next_tokens: what will be served next; it counts as if served now, so
-            that a short standstill is not taken for an end of all service.
+          next_tokens: cost of the request to be served next. It counts as served,
+            so that a short stall does not bring the estimate down to zero.
         """
-        if self._busy_s < DRAIN_MINIMUM_S:
+        if self._busy_s < THROUGHPUT_MINIMUM_S:
             return None
         return (self._cost_tokens + next_tokens) / self._busy_s
 
 
 class WaitQueue:
-    """Base of the queues."""
+    """Base of the queues; waits cannot be estimated unless a queue overrides it."""
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiters."""
         raise NotImplementedError
 
     def push(self, waiter: Waiter, limit: int) -> Waiter | None:
-        """Add a waiter; return the one that found no place, if any."""
+        """Add a waiter; return the one that is rejected if the queue is full."""
         raise NotImplementedError
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a waiter out; nothing happens if it is not there."""
+        """Remove a waiter, if it is queued."""
         raise NotImplementedError
 
     def heads(self, now_s: float) -> list[Waiter]:
-        """Return who may be served next, the first first."""
+        """Return the waiters that may be served next, in order."""
         raise NotImplementedError
 
     def served(self, waiter: Waiter, now_s: float) -> None:
-        """Take out a waiter that is served."""
+        """Remove a waiter that is being served."""
         raise NotImplementedError
 
     def wait_s(self, waiter: Waiter, now_s: float) -> float | None:
-        """Estimate how long a waiter, queued or not, would still wait."""
+        """Estimate the wait of a waiter that arrives; None if unknown."""
         return None
 
     def estimates(self, now_s: float) -> list[tuple[Waiter, float | None]]:
-        """Return all waiters with their estimated waits.
+        """Return all waiters with their estimated waits; None if unknown.
 
-        A waiter that would miss its deadline does not count for those behind.
+        A waiter that would miss its deadline does not delay those behind it.
         """
         return [(waiter, None) for waiter in self]
 
@@ -114,13 +117,13 @@
 
 
 class FifoQueue(WaitQueue):
-    """First come, first served; it estimates nothing."""
+    """First in, first out; makes no estimates."""
 
     def __init__(self) -> None:
         self._waiters: collections.OrderedDict[int, Waiter] = collections.OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiters."""
         return len(self._waiters)
 
     def __iter__(self) -> Iterator[Waiter]:
@@ -135,7 +138,7 @@
         return None
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a waiter out."""
+        """Remove a waiter."""
         self._waiters.pop(id(waiter), None)
 
     def heads(self, now_s: float) -> list[Waiter]:
@@ -143,11 +146,11 @@
         return [next(iter(self._waiters.values()))] if self._waiters else []
 
     def served(self, waiter: Waiter, now_s: float) -> None:
-        """Take out the waiter."""
+        """Remove the waiter."""
         self.remove(waiter)
 
 
-class _Level:
+class _PriorityLevel:
     """The waiters of one priority."""
 
     def __init__(self) -> None:
@@ -155,9 +158,9 @@
         self.virtual_time = 0.0
         self.finish_tags: dict[str, float] = {}
         self.backlogs: dict[str, float] = {}
-        self.rate = DrainRate()
+        self.throughput = BacklogThroughput()
         self.count = 0
-        self.seen_s = 0.0
+        self.observed_s = 0.0
 
     def head(self) -> Waiter | None:
         while self.heap and not self.heap[0][2].queued:
@@ -166,19 +169,19 @@
 
 
 class FairQueue(WaitQueue):
-    """Fair between organisations, with priorities that age.
+    """Fair queue over organisations, with priority aging.
 
-    When it is full, the newest waiter of the organisation with the largest
-    backlog for its weight gives way to a smaller one.
+    When it is full, the newest waiter of lowest priority of the organisation with
+    the largest weighted backlog is rejected.
     """
 
     def __init__(self) -> None:
-        self._levels: dict[int, _Level] = {}
-        self._numbers = itertools.count()
+        self._levels: dict[int, _PriorityLevel] = {}
+        self._sequence_numbers = itertools.count()
         self._count = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiters."""
         return self._count
 
     def __iter__(self) -> Iterator[Waiter]:
@@ -187,7 +190,7 @@
             yield from [w for _, _, w in level.heap if w.queued]
 
     def push(self, waiter: Waiter, limit: int) -> Waiter | None:
-        """Add a waiter; return the one that has to go if the queue is full."""
+        """Add a waiter; return the one that is rejected if the queue is full."""
         victim = None
         if self._count >= limit:
             victim = self._victim(waiter)
@@ -198,18 +201,18 @@
         return victim
 
     def _add(self, waiter: Waiter) -> None:
-        level = self._levels.setdefault(waiter.request.priority, _Level())
+        level = self._levels.setdefault(waiter.request.priority, _PriorityLevel())
         name = waiter.request.organisation.name
         weight = waiter.request.organisation.weight
         if not level.count:
-            level.seen_s = waiter.enqueued_s
+            level.observed_s = waiter.enqueued_s
             level.finish_tags.clear()
         start = max(level.virtual_time, level.finish_tags.get(name, 0.0))
         level.finish_tags[name] = start + waiter.cost_tokens / weight
         waiter.start_tag = start
-        waiter.number = next(self._numbers)
+        waiter.sequence_number = next(self._sequence_numbers)
         waiter.queued = True
-        heapq.heappush(level.heap, (start, waiter.number, waiter))
+        heapq.heappush(level.heap, (start, waiter.sequence_number, waiter))
         level.backlogs[name] = level.backlogs.get(name, 0.0) + waiter.cost_tokens
         level.count += 1
         self._count += 1
@@ -225,19 +228,21 @@
             shares[organisation.name] = shares.get(organisation.name, 0.0) + share
         largest = max(shares, key=lambda name: (shares[name], name))
         own = [w for w in waiters if w.request.organisation.name == largest]
-        return max(own, key=lambda w: (w.request.priority, w.enqueued_s, w.number))
+        return max(
+            own, key=lambda w: (w.request.priority, w.enqueued_s, w.sequence_number)
+        )
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a waiter out and give its organisation's share back."""
+        """Remove a waiter that was not served; its cost is not charged."""
         if not waiter.queued:
             return
         name = waiter.request.organisation.name
         level = self._levels[waiter.request.priority]
         weight = waiter.request.organisation.weight
         level.finish_tags[name] -= waiter.cost_tokens / weight
-        self._drop(level, waiter)
+        self._discard(level, waiter)
 
-    def _drop(self, level: _Level, waiter: Waiter) -> None:
+    def _discard(self, level: _PriorityLevel, waiter: Waiter) -> None:
         waiter.queued = False
         self._count -= 1
         level.count -= 1
@@ -250,39 +255,40 @@
             heapq.heapify(level.heap)
 
     def heads(self, now_s: float) -> list[Waiter]:
-        """Return the head of each priority, by priority and time waited."""
+        """Return the head of each priority, ordered by priority less aging."""
         found = []
         for priority, level in self._levels.items():
             head = level.head()
             if head is not None:
-                aged = priority - (now_s - head.enqueued_s) / AGING_S
+                aged = priority - (now_s - head.enqueued_s) / AGING_S_PER_LEVEL
                 found.append((aged, priority, head))
         found.sort(key=lambda entry: entry[:2])
         return [head for _, _, head in found]
 
     def served(self, waiter: Waiter, now_s: float) -> None:
-        """Take out a waiter that is served and move the virtual time on."""
+        """Remove a waiter that is being served and advance the virtual time."""
         level = self._levels[waiter.request.priority]
         level.virtual_time = max(level.virtual_time, waiter.start_tag)
-        level.rate.observe(waiter.cost_tokens, now_s - level.seen_s)
-        level.seen_s = now_s
-        self._drop(level, waiter)
+        level.throughput.observe(waiter.cost_tokens, now_s - level.observed_s)
+        level.observed_s = now_s
+        self._discard(level, waiter)
 
     def wait_s(self, waiter: Waiter, now_s: float) -> float | None:
         """Estimate the wait of a request that arrives.
 
-        An organisation's backlog is ahead only as far as its share goes.
+        Of each organisation's backlog, at most as much counts as the request's own
+        organisation has queued, this request included.
         """
         level = self._levels.get(waiter.request.priority)
         if level is None or not level.count:
             return 0.0
-        rate = self._rate(level, now_s, waiter.cost_tokens)
-        if rate is None:
+        throughput = self._tokens_per_s(level, now_s, waiter.cost_tokens)
+        if throughput is None:
             return None
         own = level.backlogs.get(waiter.request.organisation.name, 0.0)
         bound = own + waiter.cost_tokens
         ahead = sum(min(backlog, bound) for backlog in level.backlogs.values())
-        return ahead / rate
+        return ahead / throughput
 
     def estimates(self, now_s: float) -> list[tuple[Waiter, float | None]]:
         """Return all waiters with their estimated waits."""
@@ -294,14 +300,16 @@
             for _, _, waiter in sorted(level.heap, key=lambda entry: entry[:2]):
                 if not waiter.queued:
                     continue
-                rate = self._rate(level, now_s, waiter.cost_tokens)
-                wait_s = None if rate is None else ahead / rate
+                throughput = self._tokens_per_s(level, now_s, waiter.cost_tokens)
+                wait_s = None if throughput is None else ahead / throughput
                 found.append((waiter, wait_s))
                 if wait_s is None or now_s + wait_s <= waiter.request.deadline_s:
                     ahead += waiter.cost_tokens
         return found
 
-    def _rate(self, level: _Level, now_s: float, next_tokens: float) -> float | None:
-        level.rate.observe(0.0, now_s - level.seen_s)
-        level.seen_s = now_s
-        return level.rate.tokens_per_s(next_tokens)
+    def _tokens_per_s(
+        self, level: _PriorityLevel, now_s: float, next_tokens: float
+    ) -> float | None:
+        level.throughput.observe(0.0, now_s - level.observed_s)
+        level.observed_s = now_s
+        return level.throughput.tokens_per_s(next_tokens)
--- a/endivesill/routing/retries.py
+++ b/endivesill/routing/retries.py
@@ -1,8 +1,8 @@
 """Retry budgets and backoff.
 
-Requests are not hedged: a generation's first token waits mostly for prefill and
-memory, and a second copy would cost the prompt's prefill again on a fleet that
-is short of just that.
+Requests are not hedged. The time to first token consists mostly of waiting for
+prefill and memory, and a second copy of a request would repeat the prefill of its
+prompt when exactly that capacity is short.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 __all__ = ["Backoff", "RetryBudgets"]
 
-RETRY_SHARE = 0.1
-BUDGET_START = 3.0
-BUDGET_MAXIMUM = 20.0
+RETRY_RATIO = 0.1
+INITIAL_BUDGET = 3.0
+MAXIMUM_BUDGET = 20.0
 MAXIMUM_BUDGETS = 20_000
-BACKOFF_START_S = 0.05
-BACKOFF_LIMIT_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAXIMUM_BACKOFF_S = 2.0
 
 
 class RetryBudgets:
-    """Budgets of retries, one for each service and organisation.
+    """Retry budgets, one for each service and organisation.
 
-    Each success earns a share of a retry, so that retries stay a bounded share
-    of the work however many requests fail.
+    Each success adds a fraction of a retry, so that retries remain a bounded
+    fraction of the requests however many of those fail.
     """
 
     def __init__(self) -> None:
@@ -33,18 +33,18 @@
         )
 
     def succeeded(self, service: str, organisation: str) -> None:
-        """Count a success."""
+        """Add the earnings of one success to the budget."""
         key = (service, organisation)
-        budget = self._budgets.get(key, BUDGET_START) + RETRY_SHARE
-        self._budgets[key] = min(BUDGET_MAXIMUM, budget)
+        budget = self._budgets.get(key, INITIAL_BUDGET) + RETRY_RATIO
+        self._budgets[key] = min(MAXIMUM_BUDGET, budget)
         self._budgets.move_to_end(key)
         if len(self._budgets) > MAXIMUM_BUDGETS:
             self._budgets.popitem(last=False)
 
     def take(self, service: str, organisation: str) -> bool:
-        """Take one retry from the budget; False if there is none left."""
+        """Take one retry from the budget; return False if it is exhausted."""
         key = (service, organisation)
-        budget = self._budgets.get(key, BUDGET_START)
+        budget = self._budgets.get(key, INITIAL_BUDGET)
         if budget < 1:
             return False
         self._budgets[key] = budget - 1
@@ -55,13 +55,13 @@
     """Exponential backoff with full jitter.
 
     Args:
-      random_source: the source of the jitter; tests give a seeded one.
+      random_source: source of the jitter.
     """
 
     def __init__(self, random_source: random.Random | None = None) -> None:
         self._random = random_source or random.Random()
 
     def delay_s(self, attempt: int) -> float:
-        """Return how long to wait before a retry; the first has attempt 1."""
-        limit_s = min(BACKOFF_LIMIT_S, BACKOFF_START_S * 2 ** min(attempt, 10))
+        """Return the delay before a retry; the first retry is attempt 1."""
+        limit_s = min(MAXIMUM_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10))
         return self._random.uniform(0.0, limit_s)
--- a/endivesill/routing/service_state.py
+++ b/endivesill/routing/service_state.py
@@ -1,4 +1,4 @@
-"""What the router keeps of each service."""
+"""State of one service in the router."""
 
 from __future__ import annotations
 
@@ -14,12 +14,17 @@
 class ServiceState:
     """The policy and the queue of one service.
 
-    It is pressing while a request at hand asks for credits; the needed tokens
-    are the memory that the last one without a place needs.
+    Attributes:
+      policy: chooses targets.
+      queue: the requests that wait for a target.
+      check_scheduled: whether the next check of deadlines is scheduled.
+      is_requesting_credit: whether credits are being requested for a request that
+        may not be queued; it counts as a queued one.
+      needed_tokens: memory tokens that the last request without a target needs.
     """
 
     policy: Policy
     queue: WaitQueue
-    checking: bool = False
-    pressing: bool = False
+    check_scheduled: bool = False
+    is_requesting_credit: bool = False
     needed_tokens: int = 0
--- a/endivesill/targets/monitor.py
+++ b/endivesill/targets/monitor.py
@@ -49,14 +49,14 @@
     def observe_silence(self, target: Target) -> None:
         """Note that the target does not answer."""
 
-    def observe_cleared(self, target: Target) -> None:
+    def observe_cache_cleared(self, target: Target) -> None:
         """Note that the target has lost its prefix cache."""
 
 
 class CacheSink(Protocol):
     """Who keeps the index of cached prefixes."""
 
-    def position(self, target_name: str) -> int:
+    def last_sequence(self, target_name: str) -> int:
         """Return the last sequence number that was applied."""
 
     def needs_resync(self, target_name: str) -> bool:
@@ -178,8 +178,10 @@
             found = await self._adapter.cache_events(target, 0)
             self._cache.resync(name, found)
             return
-        found = await self._adapter.cache_events(target, self._cache.position(name))
+        found = await self._adapter.cache_events(
+            target, self._cache.last_sequence(name)
+        )
         if any(event.kind == "cleared" for event in found.events):
-            self._sink.observe_cleared(target)
+            self._sink.observe_cache_cleared(target)
         if not self._cache.apply(name, found) and not resync:
             events.emit(CACHE_EVENTS_LOST, target=name)
--- a/tests/routing_fakes.py
+++ b/tests/routing_fakes.py
@@ -1,4 +1,4 @@
-"""Small builders that the routing tests share."""
+"""Builders of configuration objects and requests for the routing tests."""
 
 from endivesill.configuration.model import (
     Configuration,
--- a/tests/test_routing_credits.py
+++ b/tests/test_routing_credits.py
@@ -1,4 +1,4 @@
-"""Tests of the ledgers of credits."""
+"""Tests of the credit allocator."""
 
 import random
 import unittest
@@ -6,199 +6,257 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from endivesill.routing.credits import LOAN_LIFE_S, TAKEOVER_S, Ledger, Use
+from endivesill.routing.credits import (
+    ALLOCATION_LIFETIME_S,
+    TAKEOVER_S,
+    CreditAllocator,
+    Usage,
+)
 from tests.routing_fakes import make_target
 
 MAXIMUM_SLOTS = 16
 COLD_SLOTS = 2
 
 
-def make_ledger(now_s=0.0, warm=True):
-    ledger = Ledger(make_target(), 71.0, 880.0, now_s)
+def make_allocator(now_s=0.0, warm=True):
+    allocator = CreditAllocator(make_target(), 71.0, 880.0, now_s)
     if warm:
-        ledger.assume_warm()
-    return ledger
+        allocator.assume_warm()
+    return allocator
 
 
-class LedgerTest(unittest.TestCase):
-    def test_cold_target_is_lent_its_cold_allowance_only(self):
-        ledger = make_ledger(warm=False)
+class CreditAllocatorTest(unittest.TestCase):
+    def test_cold_target_gets_only_the_cold_allowance(self):
+        allocator = make_allocator(warm=False)
         now_s = TAKEOVER_S + 1
-        use = Use(ahead_slots=9, queued=9)
-        loans = [ledger.ask(f"v{n}", use, now_s) for n in range(5)]
-        self.assertEqual(COLD_SLOTS, sum(loan.slots for loan in loans))
-
-    def test_new_home_lends_what_runs_and_the_cold_allowance(self):
-        ledger = make_ledger(warm=False)
-        first = ledger.ask("a", Use(slots=5, ahead_slots=9, queued=1), 0.0)
-        second = ledger.ask("b", Use(slots=3, ahead_slots=9, queued=1), 0.1)
+        usage = Usage(headroom_slots=9, queued=9)
+        allocations = [allocator.allocate(f"v{n}", usage, now_s) for n in range(5)]
+        self.assertEqual(
+            COLD_SLOTS, sum(allocation.slots for allocation in allocations)
+        )
+
+    def test_new_owner_allocates_running_load_and_the_cold_allowance(self):
+        allocator = make_allocator(warm=False)
+        first = allocator.allocate("a", Usage(slots=5, headroom_slots=9, queued=1), 0.0)
+        second = allocator.allocate(
+            "b", Usage(slots=3, headroom_slots=9, queued=1), 0.1
+        )
         self.assertEqual(5 + 3 + COLD_SLOTS, first.slots + second.slots)
 
-    def test_new_home_does_not_grow_with_each_renewal(self):
-        ledger = make_ledger(warm=False)
-        loan = ledger.ask("a", Use(slots=5, ahead_slots=9, queued=1), 0.0)
+    def test_takeover_allocation_does_not_grow_with_renewals(self):
+        allocator = make_allocator(warm=False)
+        allocation = allocator.allocate(
+            "a", Usage(slots=5, headroom_slots=9, queued=1), 0.0
+        )
         for step in range(1, 4):
-            use = Use(slots=loan.slots, ahead_slots=9, queued=1, serial=loan.serial)
-            loan = ledger.ask("a", use, float(step))
-        self.assertEqual(5 + COLD_SLOTS, loan.slots)
-
-    def test_new_home_takes_on_the_warmth_that_it_has_seen(self):
-        ledger = make_ledger(warm=False)
-        ledger.ask("a", Use(slots=7), 0.0)
-        loan = ledger.ask("a", Use(slots=7, ahead_slots=9, queued=1), TAKEOVER_S + 1)
-        self.assertEqual(7, loan.slots)
-
-    def test_smaller_loan_counts_once_it_is_confirmed(self):
-        ledger = make_ledger()
-        first = ledger.ask("a", Use(ahead_slots=14, queued=1), 0.0)
+            usage = Usage(
+                slots=allocation.slots,
+                headroom_slots=9,
+                queued=1,
+                serial=allocation.serial,
+            )
+            allocation = allocator.allocate("a", usage, float(step))
+        self.assertEqual(5 + COLD_SLOTS, allocation.slots)
+
+    def test_slow_start_begins_from_the_load_found_at_the_takeover(self):
+        allocator = make_allocator(warm=False)
+        allocator.allocate("a", Usage(slots=7), 0.0)
+        allocation = allocator.allocate(
+            "a", Usage(slots=7, headroom_slots=9, queued=1), TAKEOVER_S + 1
+        )
+        self.assertEqual(7, allocation.slots)
+
+    def test_smaller_allocation_counts_once_confirmed(self):
+        allocator = make_allocator()
+        first = allocator.allocate("a", Usage(headroom_slots=14, queued=1), 0.0)
         self.assertEqual(14, first.slots)
-        self.assertEqual(0, ledger.ask("b", Use(ahead_slots=4, queued=1), 0.1).slots)
-        second = ledger.ask("a", Use(ahead_slots=2, queued=1, serial=first.serial), 0.2)
-        self.assertEqual(0, ledger.ask("b", Use(ahead_slots=4, queued=1), 0.3).slots)
-        ledger.ask("a", Use(ahead_slots=2, queued=1, serial=second.serial), 0.4)
-        self.assertEqual(4, ledger.ask("b", Use(ahead_slots=4, queued=1), 0.5).slots)
-
-    def test_lost_borrowers_work_counts_until_the_report_shows_its_end(self):
-        ledger = make_ledger()
-        loan = ledger.ask("a", Use(ahead_slots=14, queued=1), 0.0)
-        ledger.ask("a", Use(slots=14, serial=loan.serial), 0.1)
-        ledger.observe_load("boot", 14, 60_000, 0, LOAN_LIFE_S + 1)
         self.assertEqual(
-            0, ledger.ask("b", Use(ahead_slots=4, queued=1), LOAN_LIFE_S + 2).slots
+            0, allocator.allocate("b", Usage(headroom_slots=4, queued=1), 0.1).slots
+        )
+        second = allocator.allocate(
+            "a", Usage(headroom_slots=2, queued=1, serial=first.serial), 0.2
         )
-        ledger.observe_load("boot", 0, 60_000, 0, LOAN_LIFE_S + 8)
         self.assertEqual(
-            4, ledger.ask("b", Use(ahead_slots=4, queued=1), LOAN_LIFE_S + 9).slots
+            0, allocator.allocate("b", Usage(headroom_slots=4, queued=1), 0.3).slots
+        )
+        allocator.allocate(
+            "a", Usage(headroom_slots=2, queued=1, serial=second.serial), 0.4
+        )
+        self.assertEqual(
+            4, allocator.allocate("b", Usage(headroom_slots=4, queued=1), 0.5).slots
         )
 
-    def test_new_boot_falls_back_to_the_cold_allowance(self):
-        ledger = make_ledger()
-        ledger.observe_load("boot-1", 0, 60_000, 0, 1.0)
-        self.assertTrue(ledger.observe_load("boot-2", 0, 60_000, 0, 2.0))
-        self.assertEqual(COLD_SLOTS, ledger.allowance_slots())
+    def test_residual_load_counts_until_a_load_report_shows_its_end(self):
+        allocator = make_allocator()
+        allocation = allocator.allocate("a", Usage(headroom_slots=14, queued=1), 0.0)
+        allocator.allocate("a", Usage(slots=14, serial=allocation.serial), 0.1)
+        allocator.observe_load("boot", 14, 60_000, 0, ALLOCATION_LIFETIME_S + 1)
+        self.assertEqual(
+            0,
+            allocator.allocate(
+                "b", Usage(headroom_slots=4, queued=1), ALLOCATION_LIFETIME_S + 2
+            ).slots,
+        )
+        allocator.observe_load("boot", 0, 60_000, 0, ALLOCATION_LIFETIME_S + 8)
+        self.assertEqual(
+            4,
+            allocator.allocate(
+                "b", Usage(headroom_slots=4, queued=1), ALLOCATION_LIFETIME_S + 9
+            ).slots,
+        )
 
-    def test_allowance_doubles_on_answers_and_not_on_time(self):
-        ledger = make_ledger(warm=False)
+    def test_reboot_resets_to_the_cold_allowance(self):
+        allocator = make_allocator()
+        allocator.observe_load("boot-1", 0, 60_000, 0, 1.0)
+        self.assertTrue(allocator.observe_load("boot-2", 0, 60_000, 0, 2.0))
+        self.assertEqual(COLD_SLOTS, allocator.allowance_slots())
+
+    def test_allowance_doubles_on_responses_and_not_on_time(self):
+        allocator = make_allocator(warm=False)
         now_s = TAKEOVER_S + 1
-        ledger.ask("a", Use(), now_s)
-        ledger.ask("a", Use(), now_s + 500)
-        self.assertEqual(2, ledger.allowance_slots())
-        ledger.ask("a", Use(answers=2, first_token_ms=100.0), now_s + 501)
-        self.assertEqual(4, ledger.allowance_slots())
-        ledger.ask("a", Use(answers=9, first_token_ms=9000.0), now_s + 502)
-        self.assertEqual(4, ledger.allowance_slots())
-
-    def test_silent_target_is_lent_nothing(self):
-        ledger = make_ledger()
-        ledger.silent()
-        self.assertEqual(0, ledger.ask("a", Use(ahead_slots=4, queued=1), 1.0).slots)
-
-    def test_work_that_no_borrower_owns_up_to_is_not_lent_again(self):
-        ledger = make_ledger()
+        allocator.allocate("a", Usage(), now_s)
+        allocator.allocate("a", Usage(), now_s + 500)
+        self.assertEqual(2, allocator.allowance_slots())
+        allocator.allocate("a", Usage(completed=2, first_token_ms=100.0), now_s + 501)
+        self.assertEqual(4, allocator.allowance_slots())
+        allocator.allocate("a", Usage(completed=9, first_token_ms=9000.0), now_s + 502)
+        self.assertEqual(4, allocator.allowance_slots())
+
+    def test_silent_target_gets_no_slots(self):
+        allocator = make_allocator()
+        allocator.mark_silent()
+        self.assertEqual(
+            0, allocator.allocate("a", Usage(headroom_slots=4, queued=1), 1.0).slots
+        )
+
+    def test_unattributed_load_reduces_the_allocation(self):
+        allocator = make_allocator()
         for second in range(8):
-            ledger.observe_load("boot", 10, 60_000, 0, float(second))
-        self.assertEqual(4, ledger.ask("a", Use(ahead_slots=14, queued=1), 8.0).slots)
+            allocator.observe_load("boot", 10, 60_000, 0, float(second))
+        self.assertEqual(
+            4, allocator.allocate("a", Usage(headroom_slots=14, queued=1), 8.0).slots
+        )
 
-    def test_fewer_slots_than_entries_go_to_those_that_queue(self):
-        ledger = make_ledger(warm=False)
+    def test_scarce_slots_go_to_entries_with_a_queue(self):
+        allocator = make_allocator(warm=False)
         names = [f"v{n}" for n in range(7)]
         now_s = TAKEOVER_S + 1
-        idle = [ledger.ask(name, Use(ahead_slots=2), now_s) for name in names]
-        self.assertLessEqual(sum(loan.slots for loan in idle), COLD_SLOTS)
-        held = {name: loan.serial for name, loan in zip(names, idle, strict=True)}
+        idle = [
+            allocator.allocate(name, Usage(headroom_slots=2), now_s) for name in names
+        ]
+        self.assertLessEqual(sum(allocation.slots for allocation in idle), COLD_SLOTS)
+        held = {
+            name: allocation.serial
+            for name, allocation in zip(names, idle, strict=True)
+        }
         for name in names:
-            ledger.ask(name, Use(serial=held[name]), now_s + 1)
+            allocator.allocate(name, Usage(serial=held[name]), now_s + 1)
         for name in names:
-            ledger.ask(name, Use(), now_s + 2)
+            allocator.allocate(name, Usage(), now_s + 2)
         queued = [
-            ledger.ask(name, Use(ahead_slots=3, queued=1), now_s + 3) for name in names
+            allocator.allocate(name, Usage(headroom_slots=3, queued=1), now_s + 3)
+            for name in names
         ]
-        self.assertEqual(COLD_SLOTS, sum(loan.slots for loan in queued))
+        self.assertEqual(COLD_SLOTS, sum(allocation.slots for allocation in queued))
 
-    def test_cold_target_is_lent_in_advance_while_nobody_queues(self):
-        ledger = make_ledger(warm=False)
+    def test_cold_target_gives_headroom_while_no_entry_queues(self):
+        allocator = make_allocator(warm=False)
         now_s = TAKEOVER_S + 1
-        idle = Use(ahead_slots=2)
-        loans = [ledger.ask(name, idle, now_s) for name in ("a", "b", "c")]
-        self.assertEqual([1, 1, 0], [loan.slots for loan in loans])
-        waiting = Use(ahead_slots=2, queued=1)
-        ledger.ask("c", waiting, now_s + 1)
-        back = ledger.ask("a", Use(ahead_slots=2, serial=loans[0].serial), now_s + 2)
+        idle = Usage(headroom_slots=2)
+        allocations = [
+            allocator.allocate(name, idle, now_s) for name in ("a", "b", "c")
+        ]
+        self.assertEqual([1, 1, 0], [allocation.slots for allocation in allocations])
+        waiting = Usage(headroom_slots=2, queued=1)
+        allocator.allocate("c", waiting, now_s + 1)
+        back = allocator.allocate(
+            "a", Usage(headroom_slots=2, serial=allocations[0].serial), now_s + 2
+        )
         self.assertEqual(0, back.slots)
-        ledger.ask("a", Use(ahead_slots=2, serial=back.serial), now_s + 3)
-        self.assertEqual(1, ledger.ask("c", waiting, now_s + 4).slots)
+        allocator.allocate("a", Usage(headroom_slots=2, serial=back.serial), now_s + 3)
+        self.assertEqual(1, allocator.allocate("c", waiting, now_s + 4).slots)
 
-    def test_cold_target_goes_on_being_lent_when_loans_are_renewed(self):
-        ledger = make_ledger(warm=False)
+    def test_cold_target_stays_allocated_over_renewals(self):
+        allocator = make_allocator(warm=False)
         now_s = TAKEOVER_S + 1
         serials = dict.fromkeys("abc", 0)
         for _ in range(5):
             now_s += 1.0
-            lent = {}
+            allocated = {}
             for name, serial in serials.items():
-                use = Use(ahead_slots=2, serial=serial)
-                lent[name] = ledger.ask(name, use, now_s)
-                serials[name] = lent[name].serial
-            self.assertEqual(COLD_SLOTS, sum(loan.slots for loan in lent.values()))
-
-    def test_home_without_the_lease_lends_nothing(self):
-        ledger = make_ledger()
-        loan = ledger.ask("a", Use(ahead_slots=4, queued=1), 1.0, lends=False)
-        self.assertEqual(0, loan.slots)
+                usage = Usage(headroom_slots=2, serial=serial)
+                allocated[name] = allocator.allocate(name, usage, now_s)
+                serials[name] = allocated[name].serial
+            self.assertEqual(
+                COLD_SLOTS, sum(allocation.slots for allocation in allocated.values())
+            )
+
+    def test_owner_without_the_lease_allocates_nothing(self):
+        allocator = make_allocator()
+        allocation = allocator.allocate(
+            "a", Usage(headroom_slots=4, queued=1), 1.0, may_allocate=False
+        )
+        self.assertEqual(0, allocation.slots)
 
     def test_contended_target_is_shared_evenly(self):
-        ledger = make_ledger()
-        loans = {}
+        allocator = make_allocator()
+        allocations = {}
         for _ in range(4):
             for name in ("a", "b"):
-                held = loans.get(name)
-                use = Use(ahead_slots=40, queued=1, serial=held.serial if held else 0)
-                loans[name] = ledger.ask(name, use, 1.0)
-        self.assertEqual([7, 7], [loan.slots for loan in loans.values()])
+                held = allocations.get(name)
+                usage = Usage(
+                    headroom_slots=40, queued=1, serial=held.serial if held else 0
+                )
+                allocations[name] = allocator.allocate(name, usage, 1.0)
+        self.assertEqual(
+            [7, 7], [allocation.slots for allocation in allocations.values()]
+        )
 
-    def test_memory_is_lent_within_what_the_engine_holds(self):
-        ledger = make_ledger()
-        use = Use(ahead_slots=4, queued=1, ahead_tokens=50_000)
-        loans = [ledger.ask(name, use, 1.0) for name in ("a", "b", "c")]
-        self.assertLessEqual(sum(loan.tokens for loan in loans), 60_000)
+    def test_memory_allocations_stay_within_the_engine_memory(self):
+        allocator = make_allocator()
+        usage = Usage(headroom_slots=4, queued=1, headroom_tokens=50_000)
+        allocations = [allocator.allocate(name, usage, 1.0) for name in ("a", "b", "c")]
+        self.assertLessEqual(
+            sum(allocation.tokens for allocation in allocations), 60_000
+        )
 
 
 class Entry:
-    """An entry of the model: what it runs and the loan that it holds."""
+    """An entry of the model with its load and its allocation."""
 
     def __init__(self, name):
         self.name = name
         self.running = 0
-        self.least = 0
-        self.least_since_ask = 0
-        self.loan = None
-        self.life_ends_s = 0.0
-
-    def use(self, ahead):
-        self.least_since_ask = self.running
-        return Use(
+        self.minimum = 0
+        self.minimum_since_request = 0
+        self.allocation = None
+        self.expires_s = 0.0
+
+    def usage(self, ahead):
+        self.minimum_since_request = self.running
+        return Usage(
             slots=self.running,
-            ahead_slots=ahead,
-            serial=self.loan.serial if self.loan else 0,
-            answers=1,
+            headroom_slots=ahead,
+            serial=self.allocation.serial if self.allocation else 0,
+            completed=1,
             queued=ahead % 3,
-            least_slots=self.least,
+            minimum_slots=self.minimum,
         )
 
     def startable(self, now_s):
-        if self.loan is None or self.life_ends_s <= now_s:
+        if self.allocation is None or self.expires_s <= now_s:
             return 0
-        return max(0, self.loan.slots - self.running)
+        return max(0, self.allocation.slots - self.running)
 
 
 class Model:
-    """Entries, one target and its home or homes, with messages that get lost."""
+    """Entries and one target with one or two owners; messages may get lost."""
 
-    def __init__(self, ledgers):
+    def __init__(self, allocators):
         self.now_s = 100.0
-        self.ledgers = ledgers
+        self.allocators = allocators
         self.entries = [Entry(f"v{n}") for n in range(4)]
-        self.homes = dict.fromkeys(range(4), 0)
+        self.owners = dict.fromkeys(range(4), 0)
         self.orphans = 0
         self.names = 4
 
@@ -207,15 +265,15 @@
         self.now_s += 0.01
         self.converge()
 
-    def ask(self, index, amount):
+    def request(self, index, amount):
         entry = self.entries[index]
-        ledger = self.ledgers[self.homes[index]]
+        allocator = self.allocators[self.owners[index]]
         sent_s = self.now_s
-        loan = ledger.ask(entry.name, entry.use(amount), self.now_s)
+        allocation = allocator.allocate(entry.name, entry.usage(amount), self.now_s)
         if amount % 4:
-            entry.loan = loan
-            entry.least = entry.least_since_ask
-            entry.life_ends_s = sent_s + LOAN_LIFE_S
+            entry.allocation = allocation
+            entry.minimum = entry.minimum_since_request
+            entry.expires_s = sent_s + ALLOCATION_LIFETIME_S
 
     def start(self, index, amount):
         entry = self.entries[index]
@@ -224,11 +282,11 @@
     def end(self, index, amount):
         entry = self.entries[index]
         entry.running = max(0, entry.running - amount)
-        entry.least = min(entry.least, entry.running)
-        entry.least_since_ask = min(entry.least_since_ask, entry.running)
+        entry.minimum = min(entry.minimum, entry.running)
+        entry.minimum_since_request = min(entry.minimum_since_request, entry.running)
 
     def die(self, index, amount):
-        """Restart an entry; its work goes on at the target."""
+        """Restart an entry; its requests continue to run at the target."""
         self.orphans += self.entries[index].running
         self.names += 1
         self.entries[index] = Entry(f"v{self.names}")
@@ -241,27 +299,30 @@
         for _ in range(amount):
             self.now_s += 1.0
             self.converge()
-            for ledger in self.ledgers:
-                ledger.observe_load("boot", self.running(), 60_000, 0, self.now_s)
+            for allocator in self.allocators:
+                allocator.observe_load("boot", self.running(), 60_000, 0, self.now_s)
 
     def partition(self, index, amount):
-        """Let time pass without reports and without asks."""
+        """Let time pass without load reports and credit requests."""
         self.now_s += amount
 
     def switch(self, index, amount):
-        """Let an entry believe in the other home and drop its loan."""
-        self.homes[index] = 1
-        self.entries[index].loan = None
+        """Let an entry switch to the other owner and drop its allocation."""
+        self.owners[index] = 1
+        self.entries[index].allocation = None
 
     def converge(self):
-        """Let all views agree within a loan's life, and asks follow a period on."""
-        if len(self.ledgers) < 2:
+        """Let all entries switch within an allocation's lifetime and then request."""
+        if len(self.allocators) < 2:
             return
         for index, entry in enumerate(self.entries):
-            if self.now_s > 100.0 + LOAN_LIFE_S and not self.homes[index]:
+            if self.now_s > 100.0 + ALLOCATION_LIFETIME_S and not self.owners[index]:
                 self.switch(index, 0)
-            if self.now_s > 100.0 + LOAN_LIFE_S + 2 and entry.loan is None:
-                self.ask(index, 1)
+            if (
+                self.now_s > 100.0 + ALLOCATION_LIFETIME_S + 2
+                and entry.allocation is None
+            ):
+                self.request(index, 1)
 
     def running(self):
         return self.orphans + sum(entry.running for entry in self.entries)
@@ -271,28 +332,28 @@
         return self.running() + startable
 
 
-ONE_HOME = {"ask": 8, "start": 6, "end": 3, "die": 1, "end_orphans": 1, "wait": 2}
+ONE_OWNER = {"request": 8, "start": 6, "end": 3, "die": 1, "end_orphans": 1, "wait": 2}
 STEPS = 250
 
 
 def run_schedule(model, seed, weights):
-    """Run random steps; return the most work that was possible at any time."""
+    """Run random steps; return the highest possible load at any time."""
     source = random.Random(seed)
     actions = source.choices(list(weights), list(weights.values()), k=STEPS)
-    most = 0
+    maximum = 0
     for action in actions:
         model.step(action, source.randrange(4), source.randint(1, MAXIMUM_SLOTS))
-        most = max(most, model.possible())
-    return most
+        maximum = max(maximum, model.possible())
+    return maximum
 
 
-class LedgerPropertyTest(unittest.TestCase):
+class CreditAllocatorPropertyTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None, max_examples=120)
     @given(st.integers(0, 1 << 30))
     def test_sum_stays_within_the_allowance(self, seed):
-        weights = {**ONE_HOME, "partition": 1}
-        most = run_schedule(Model([make_ledger()]), seed, weights)
-        self.assertLessEqual(most, MAXIMUM_SLOTS)
+        weights = {**ONE_OWNER, "partition": 1}
+        maximum = run_schedule(Model([make_allocator()]), seed, weights)
+        self.assertLessEqual(maximum, MAXIMUM_SLOTS)
 
     @settings(derandomize=True, deadline=None, max_examples=120)
     @given(st.integers(0, 1 << 30))
@@ -301,8 +362,8 @@
     @example(640)
     @example(5358)
     @example(9939)
-    def test_two_homes_at_once_stay_within_what_the_target_bears(self, seed):
-        ledgers = [make_ledger(), make_ledger(now_s=100.0, warm=False)]
-        weights = {**ONE_HOME, "switch": 1}
-        most = run_schedule(Model(ledgers), seed, weights)
-        self.assertLessEqual(most, MAXIMUM_SLOTS)
+    def test_two_simultaneous_owners_stay_within_the_capacity(self, seed):
+        allocators = [make_allocator(), make_allocator(now_s=100.0, warm=False)]
+        weights = {**ONE_OWNER, "switch": 1}
+        maximum = run_schedule(Model(allocators), seed, weights)
+        self.assertLessEqual(maximum, MAXIMUM_SLOTS)
--- a/tests/test_routing_entry.py
+++ b/tests/test_routing_entry.py
@@ -27,7 +27,7 @@
         ) as answer:
             self.assertEqual(200, answer.status)
 
-    async def test_dead_engine_is_left_for_another(self):
+    async def test_requests_avoid_a_dead_engine(self):
         await self.fleet.add_engine("e0")
         await self.fleet.add_engine("e1")
         url = await self.fleet.add_entry()
--- a/tests/test_routing_estimates.py
+++ b/tests/test_routing_estimates.py
@@ -1,18 +1,18 @@
-"""Tests of length estimates, limits and cold start."""
+"""Tests of length estimates, adaptive limits and slow start."""
 
 import random
 import unittest
 
 from endivesill.routing.lengths import LengthEstimator, LengthHistogram
 from endivesill.routing.limits import DecodeLimit, MemoryLimit, PrefillLimit
-from endivesill.routing.warmth import ColdStart, JumpDetector
+from endivesill.routing.slow_start import SlowdownDetector, SlowStart
 from tests.routing_fakes import make_service
 
 SERVICE = make_service(prior_output_tokens=300)
 
 
 class LengthEstimatorTest(unittest.TestCase):
-    def test_begins_from_the_prior_of_the_service(self):
+    def test_initial_estimate_is_the_prior_of_the_service(self):
         mean = LengthEstimator().mean_remaining(SERVICE, "o")
         self.assertAlmostEqual(300, mean, delta=80)
 
@@ -23,7 +23,7 @@
             estimator.record(SERVICE, "o", int(source.expovariate(1 / 1000)) + 1)
         self.assertAlmostEqual(1000, estimator.mean_remaining(SERVICE, "o"), delta=200)
 
-    def test_remaining_length_of_a_heavy_tail_grows_with_what_was_produced(self):
+    def test_remaining_length_of_a_heavy_tail_grows_with_the_output(self):
         source = random.Random(4)
         estimator = LengthEstimator()
         for _ in range(3000):
@@ -32,13 +32,13 @@
         late = estimator.mean_remaining(SERVICE, "o", 1000)
         self.assertGreater(late, 2 * early)
 
-    def test_length_beyond_all_seen_expects_more_to_come(self):
+    def test_output_longer_than_all_samples_has_remaining_length(self):
         estimator = LengthEstimator()
         for _ in range(2000):
             estimator.record(SERVICE, "o", 10)
         self.assertGreater(estimator.mean_remaining(SERVICE, "o", 50_000), 0)
 
-    def test_organisations_have_their_own_lengths(self):
+    def test_organisations_have_separate_estimates(self):
         estimator = LengthEstimator()
         for _ in range(400):
             estimator.record(SERVICE, "short", 10)
@@ -49,7 +49,7 @@
         self.assertLess(short, fresh)
         self.assertLess(fresh, long)
 
-    def test_old_lengths_fade(self):
+    def test_old_lengths_decay(self):
         histogram = LengthHistogram()
         for _ in range(2000):
             histogram.add(4000)
@@ -57,14 +57,14 @@
             histogram.add(10)
         self.assertLess(histogram.quantile(0.9), 20)
 
-    def test_quantile_is_conditional_on_what_was_produced(self):
+    def test_quantile_is_conditional_on_the_output_so_far(self):
         histogram = LengthHistogram()
         for length in (10, 10, 10, 1000):
             histogram.add(length)
         self.assertLess(histogram.quantile(0.5), 20)
         self.assertGreater(histogram.quantile(0.5, produced=100), 500)
 
-    def test_memory_is_bounded_and_the_longest_unused_goes_first(self):
+    def test_least_recently_used_organisation_is_evicted(self):
         estimator = LengthEstimator(maximum_organisations=2)
         for name in ("a", "b", "a", "c"):
             estimator.record(SERVICE, name, 10)
@@ -89,22 +89,22 @@
             limit.observe(10.0, 71.0, running=1)
         self.assertEqual(8, limit.slots)
 
-    def test_preemptions_lower_the_overbooking_and_waiting_requests_raise_it(self):
+    def test_preemptions_lower_the_overcommit_and_waiting_requests_raise_it(self):
         limit = MemoryLimit()
-        limit.observe(0, pressed=False)
-        limit.observe(3, pressed=True)
-        self.assertLess(limit.overbooking, 1.0)
-        lowered = limit.overbooking
-        limit.observe(3, pressed=False)
-        self.assertEqual(lowered, limit.overbooking)
-        limit.observe(3, pressed=True)
-        self.assertGreater(limit.overbooking, lowered)
+        limit.observe(0, is_limiting=False)
+        limit.observe(3, is_limiting=True)
+        self.assertLess(limit.overcommit, 1.0)
+        lowered = limit.overcommit
+        limit.observe(3, is_limiting=False)
+        self.assertEqual(lowered, limit.overcommit)
+        limit.observe(3, is_limiting=True)
+        self.assertGreater(limit.overcommit, lowered)
 
     def test_preemptions_of_an_earlier_boot_do_not_count(self):
         limit = MemoryLimit()
-        limit.observe(50, pressed=False)
-        limit.observe(2, pressed=False)
-        self.assertEqual(1.0, limit.overbooking)
+        limit.observe(50, is_limiting=False)
+        limit.observe(2, is_limiting=False)
+        self.assertEqual(1.0, limit.overcommit)
 
     def test_prefill_limit_follows_the_tail_of_the_gaps(self):
         limit = PrefillLimit()
@@ -118,30 +118,30 @@
         self.assertEqual(raised, limit.tokens)
 
 
-class WarmthTest(unittest.TestCase):
-    def test_allowance_doubles_with_good_answers_up_to_the_maximum(self):
-        start = ColdStart(2, 10)
+class SlowStartTest(unittest.TestCase):
+    def test_allowance_doubles_with_timely_responses_up_to_the_maximum(self):
+        start = SlowStart(2, 10)
         seen = [start.slots]
         for _ in range(4):
-            start.answered(start.slots, 100.0, 880.0)
+            start.add_completed(start.slots, 100.0, 880.0)
             seen.append(start.slots)
         self.assertEqual([2, 4, 8, 10, 10], seen)
 
-    def test_late_first_tokens_are_no_evidence(self):
-        start = ColdStart(2, 10)
-        start.answered(50, 5000.0, 880.0)
+    def test_late_first_tokens_do_not_raise_the_allowance(self):
+        start = SlowStart(2, 10)
+        start.add_completed(50, 5000.0, 880.0)
         self.assertEqual(2, start.slots)
 
-    def test_new_boot_is_cold_and_the_first_report_is_not(self):
-        start = ColdStart(2, 10)
-        start.assume(10)
+    def test_reboot_resets_and_the_first_report_does_not(self):
+        start = SlowStart(2, 10)
+        start.raise_to(10)
         self.assertFalse(start.observe_boot("a"))
         self.assertEqual(10, start.slots)
         self.assertTrue(start.observe_boot("b"))
         self.assertEqual(2, start.slots)
 
-    def test_jump_needs_several_slow_times_in_a_row(self):
-        detector = JumpDetector()
+    def test_slowdown_needs_consecutive_slow_samples(self):
+        detector = SlowdownDetector()
         for _ in range(50):
             self.assertFalse(detector.observe(20.0, 71.0))
         self.assertFalse(detector.observe(900.0, 71.0))
--- a/tests/test_routing_prefixes.py
+++ b/tests/test_routing_prefixes.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from endivesill.routing.credits import Loan
-from endivesill.routing.policy import AFFINITY_LIMIT_TOKENS, Candidate, Choice
+from endivesill.routing.credits import Allocation
+from endivesill.routing.policy import AFFINITY_LIMIT_TOKENS, Candidate, Decision
 from endivesill.routing.policy import POLICIES as POLICY_KINDS
 from endivesill.routing.prefixes import (
     PREFIX_BLOCK_TOKENS,
@@ -31,7 +31,7 @@
         self.assertEqual(one[:2], two[:2])
         self.assertNotEqual(one[2], two[2])
 
-    def test_short_prompt_has_none(self):
+    def test_short_prompt_has_no_hashes(self):
         self.assertEqual((), prefix_hashes("short"))
 
 
@@ -39,14 +39,14 @@
     def setUp(self):
         self.index = PrefixIndex()
 
-    def test_stored_and_evicted_prefixes_are_followed(self):
+    def test_stored_and_evicted_prefixes_update_the_index(self):
         self.index.apply("e0", events((1, "stored", "a"), (2, "stored", "b")))
         tokens = self.index.cached_tokens("e0", ("a", "b", "c"))
         self.assertEqual(2 * PREFIX_BLOCK_TOKENS, tokens)
         self.index.apply("e0", events((3, "evicted", "a")))
         self.assertEqual(0, self.index.cached_tokens("e0", ("a", "b")))
 
-    def test_gap_marks_the_index_stale_until_it_is_read_again(self):
+    def test_gap_marks_the_index_stale_until_a_resync(self):
         self.index.apply("e0", events((1, "stored", "a")))
         whole = self.index.apply("e0", events((3, "stored", "c")))
         self.assertFalse(whole)
@@ -61,16 +61,16 @@
         self.assertTrue(self.index.apply("e0", events((1, "stored", "a"))))
         self.assertEqual(0, self.index.cached_tokens("e0", ("a",)))
 
-    def test_new_boot_and_cleared_cache_empty_the_index(self):
+    def test_reboot_and_cleared_cache_empty_the_index(self):
         self.index.apply("e0", events((1, "stored", "a")))
         self.index.apply("e0", events(boot_id="boot-2"))
         self.assertEqual(0, self.index.cached_tokens("e0", ("a",)))
-        self.index.place("e0", ("a",))
+        self.index.record_placement("e0", ("a",))
         self.index.apply("e0", events((1, "cleared", ""), boot_id="boot-2"))
         self.assertEqual(frozenset(), self.index.holders(("a",)))
 
-    def test_own_placement_counts_before_the_late_event(self):
-        self.index.place("e0", ("a", "b"))
+    def test_placement_counts_before_its_cache_event(self):
+        self.index.record_placement("e0", ("a", "b"))
         self.assertEqual({"e0"}, self.index.holders(("a",)))
 
 
@@ -78,33 +78,37 @@
     def choose(self, filled_tokens, prompt_tokens=1500):
         index = PrefixIndex()
         prefix = tuple(str(n) for n in range(prompt_tokens // PREFIX_BLOCK_TOKENS))
-        index.place("e0", prefix)
-        loan = Loan(20, 10_000, 9_000, 1, 1e9)
-        caching = Candidate(make_target("e0"), reserved_tokens=filled_tokens, loan=loan)
-        other = Candidate(make_target("e1"), loan=loan)
+        index.record_placement("e0", prefix)
+        allocation = Allocation(20, 10_000, 9_000, 1, 1e9)
+        caching = Candidate(
+            make_target("e0"), reserved_tokens=filled_tokens, allocation=allocation
+        )
+        other = Candidate(make_target("e1"), allocation=allocation)
         request = make_request(prompt_tokens=prompt_tokens, prefix=prefix)
-        choice = Choice(request, 0.0, 100, index)
-        chosen = POLICY_KINDS["credit"]().choose(choice, [caching, other])
+        decision = Decision(request, 0.0, 100, index)
+        chosen = POLICY_KINDS["credit"]().choose(decision, [caching, other])
         return chosen.target.name
 
-    def test_cached_prefix_wins_between_equals(self):
+    def test_cached_prefix_decides_at_equal_load(self):
         self.assertEqual("e0", self.choose(0))
 
-    def test_affinity_never_beats_memory(self):
+    def test_affinity_does_not_outweigh_memory(self):
         self.assertEqual("e1", self.choose(9_000))
 
-    def test_affinity_never_beats_prefill_ahead_by_more_than_its_limit(self):
+    def test_affinity_outweighs_pending_prefill_up_to_its_limit(self):
         index = PrefixIndex()
         prefix = tuple(str(n) for n in range(11))
-        index.place("e0", prefix)
-        loan = Loan(20, 100_000, 90_000, 1, 1e9)
+        index.record_placement("e0", prefix)
+        allocation = Allocation(20, 100_000, 90_000, 1, 1e9)
         for ahead, expected in (
             (AFFINITY_LIMIT_TOKENS - 100, "e0"),
             (AFFINITY_LIMIT_TOKENS + 100, "e1"),
         ):
-            caching = Candidate(make_target("e0"), prefill_tokens=ahead, loan=loan)
-            other = Candidate(make_target("e1"), loan=loan)
+            caching = Candidate(
+                make_target("e0"), prefill_tokens=ahead, allocation=allocation
+            )
+            other = Candidate(make_target("e1"), allocation=allocation)
             request = make_request(prompt_tokens=1500, prefix=prefix)
-            choice = Choice(request, 0.0, 100, index)
-            chosen = POLICY_KINDS["credit"]().choose(choice, [caching, other])
+            decision = Decision(request, 0.0, 100, index)
+            chosen = POLICY_KINDS["credit"]().choose(decision, [caching, other])
             self.assertEqual(expected, chosen.target.name)
--- a/tests/test_routing_queue.py
+++ b/tests/test_routing_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the queues."""
+"""Tests of the queues of waiting requests."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from endivesill.routing.queue import AGING_S, FairQueue, FifoQueue, Waiter
+from endivesill.routing.queue import AGING_S_PER_LEVEL, FairQueue, FifoQueue, Waiter
 from tests.routing_fakes import make_organisation, make_request
 
-LARGE_FACTOR = 2.0
+MAXIMUM_DELAY_FACTOR = 2.0
 
 
 def make_waiter(organisation="o", cost=100.0, priority=1, now_s=0.0, weight=1.0):
@@ -45,7 +45,7 @@
             queue.push(make_waiter("small"), 1000)
         order = names(drain(queue))
         last_small = len(order) - order[::-1].index("small")
-        self.assertLessEqual(last_small, LARGE_FACTOR * 5 + 1)
+        self.assertLessEqual(last_small, MAXIMUM_DELAY_FACTOR * 5 + 1)
 
     def test_weights_give_shares_by_token_cost(self):
         queue = FairQueue()
@@ -55,20 +55,20 @@
         order = names(drain(queue))[:30]
         self.assertAlmostEqual(20, order.count("heavy"), delta=1)
 
-    def test_short_checks_pass_long_plans(self):
+    def test_higher_priority_is_served_first(self):
         queue = FairQueue()
         queue.push(make_waiter("plans", cost=5000.0, priority=1), 10)
         queue.push(make_waiter("checks", cost=50.0, priority=0), 10)
         self.assertEqual(["checks", "plans"], names(drain(queue)))
 
-    def test_plans_are_not_starved_by_checks(self):
+    def test_aging_prevents_starvation_of_lower_priorities(self):
         queue = FairQueue()
         queue.push(make_waiter("plans", priority=1, now_s=0.0), 10)
-        queue.push(make_waiter("checks", priority=0, now_s=2 * AGING_S), 10)
-        heads = queue.heads(2 * AGING_S)
+        queue.push(make_waiter("checks", priority=0, now_s=2 * AGING_S_PER_LEVEL), 10)
+        heads = queue.heads(2 * AGING_S_PER_LEVEL)
         self.assertEqual(["plans", "checks"], names(heads))
 
-    def test_full_queue_gives_way_to_a_small_organisation(self):
+    def test_full_queue_rejects_a_waiter_of_the_largest_organisation(self):
         queue = FairQueue()
         for _ in range(10):
             queue.push(make_waiter("large"), 10)
@@ -76,14 +76,14 @@
         self.assertEqual("large", victim.request.organisation.name)
         self.assertEqual(10, len(queue))
 
-    def test_full_queue_refuses_the_largest_organisation_itself(self):
+    def test_full_queue_rejects_an_arrival_of_the_largest_organisation(self):
         queue = FairQueue()
         for _ in range(10):
             queue.push(make_waiter("large"), 10)
         late = make_waiter("large", now_s=1.0)
         self.assertIs(late, queue.push(late, 10))
 
-    def test_estimate_follows_the_backlog_and_the_rate(self):
+    def test_estimate_follows_backlog_and_throughput(self):
         queue = FairQueue()
         for _ in range(50):
             queue.push(make_waiter("large"), 100)
@@ -96,13 +96,13 @@
         self.assertAlmostEqual(2.0, large, delta=0.4)
         self.assertAlmostEqual(0.1, small, delta=0.05)
 
-    def test_waiters_that_miss_their_deadline_do_not_delay_the_rest(self):
+    def test_waiters_that_miss_their_deadline_do_not_delay_others(self):
         queue = FairQueue()
         for _ in range(40):
             queue.push(make_waiter(), 100)
         for step in range(1, 31):
             queue.served(queue.heads(0.1 * step)[0], 0.1 * step)
-        late, *rest = sorted(queue, key=lambda w: (w.start_tag, w.number))
+        late, *rest = sorted(queue, key=lambda w: (w.start_tag, w.sequence_number))
         late.request = attrs.evolve(late.request, deadline_s=0.0)
         waits = {id(waiter): wait_s for waiter, wait_s in queue.estimates(3.0)}
         self.assertEqual(0.0, waits[id(rest[0])])
@@ -120,7 +120,7 @@
             max_size=120,
         )
     )
-    def test_nothing_is_lost_and_nothing_is_served_twice(self, steps):
+    def test_every_waiter_is_served_or_removed_exactly_once(self, steps):
         queue = FairQueue()
         waiting = []
         for number, (action, organisation, priority, cost) in enumerate(steps):
--- a/tests/test_routing_retries.py
+++ b/tests/test_routing_retries.py
@@ -4,16 +4,16 @@
 import unittest
 
 from endivesill.routing.retries import (
-    BACKOFF_LIMIT_S,
-    BUDGET_START,
-    RETRY_SHARE,
+    INITIAL_BUDGET,
+    MAXIMUM_BACKOFF_S,
+    RETRY_RATIO,
     Backoff,
     RetryBudgets,
 )
 
 
 class RetryBudgetsTest(unittest.TestCase):
-    def test_retry_storm_stays_a_bounded_share_of_the_work(self):
+    def test_retries_stay_a_bounded_fraction_of_the_requests(self):
         budgets = RetryBudgets()
         source = random.Random(7)
         sent = retried = 0
@@ -25,14 +25,14 @@
                 retried += 1
             if not failing:
                 budgets.succeeded("plan-llm", "o")
-        self.assertLess(retried, RETRY_SHARE * sent)
+        self.assertLess(retried, RETRY_RATIO * sent)
 
-    def test_fresh_organisation_may_retry_a_little(self):
+    def test_new_organisation_has_the_initial_budget(self):
         budgets = RetryBudgets()
         taken = [budgets.take("plan-llm", "o") for _ in range(10)]
-        self.assertEqual(int(BUDGET_START), sum(taken))
+        self.assertEqual(int(INITIAL_BUDGET), sum(taken))
 
-    def test_budgets_of_organisations_are_apart(self):
+    def test_budgets_of_organisations_are_independent(self):
         budgets = RetryBudgets()
         while budgets.take("plan-llm", "noisy"):
             pass
@@ -45,6 +45,6 @@
         early = [backoff.delay_s(1) for _ in range(200)]
         late = [backoff.delay_s(30) for _ in range(200)]
         self.assertLessEqual(max(early), 0.1)
-        self.assertLessEqual(max(late), BACKOFF_LIMIT_S)
-        self.assertGreater(max(late), 0.9 * BACKOFF_LIMIT_S)
+        self.assertLessEqual(max(late), MAXIMUM_BACKOFF_S)
+        self.assertGreater(max(late), 0.9 * MAXIMUM_BACKOFF_S)
         self.assertGreater(len(set(late)), 100)
--- a/tests/test_targets_monitor.py
+++ b/tests/test_targets_monitor.py
@@ -43,7 +43,7 @@
     def observe_silence(self, target):
         self.told.append("silence")
 
-    def observe_cleared(self, target):
+    def observe_cache_cleared(self, target):
         self.told.append("cleared")
 
 
