--- a/endivesill/entry/relay.py
+++ b/endivesill/entry/relay.py
@@ -121,7 +121,7 @@
                 await self._back_off(failures)
 
     async def _resume(self, attempt_id: str, previous: tuple[str, ...]) -> EngineStream:
-        self._scanner.restart()
+        self._scanner.discard_incomplete()
         events.emit(
             STREAM_RESUMED,
             request_id=self.request_id,
--- a/endivesill/targets/__init__.py
+++ b/endivesill/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Targets: adapters by protocol, their messages and the token scan."""
+"""Targets: protocol adapters, their messages, and the token scanner."""
 
 from endivesill.targets.adapter import ADAPTERS, TargetAdapter, adapter, make_adapter
 from endivesill.targets.client import TargetAnswer, TargetClient, TargetRequest
--- a/endivesill/targets/adapter.py
+++ b/endivesill/targets/adapter.py
@@ -1,7 +1,6 @@
-"""Adapters to targets, by protocol.
+"""Registry of the target adapters by protocol.
 
-The adapter registry holds a class for each protocol; `make_adapter` builds the
-one that a service names.
+`adapter` registers a class for a protocol; `make_adapter` creates an instance.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
     """Base of the adapters.
 
     Args:
-      client: sends requests, shared by all targets.
+      client: sends the requests to all targets.
       timer: the timer service.
     """
 
@@ -36,9 +35,9 @@
 def adapter(protocol: str) -> Callable[[AdapterT], AdapterT]:
     """Register an adapter class for a protocol."""
 
-    def register(kind: AdapterT) -> AdapterT:
-        ADAPTERS[protocol] = kind
-        return kind
+    def register(adapter_class: AdapterT) -> AdapterT:
+        ADAPTERS[protocol] = adapter_class
+        return adapter_class
 
     return register
 
@@ -46,12 +45,12 @@
 def make_adapter(
     protocol: str, client: TargetClient, timer: TimerService
 ) -> TargetAdapter:
-    """Build the adapter of a protocol.
+    """Create the adapter of a protocol.
 
     Raises:
-      EndivesillError: no adapter is registered for it.
+      EndivesillError: no adapter is registered for the protocol.
     """
-    kind = ADAPTERS.get(protocol)
-    if kind is None:
+    adapter_class = ADAPTERS.get(protocol)
+    if adapter_class is None:
         raise errors.EndivesillError(f"no adapter for protocol {protocol!r}")
-    return kind(client, timer)
+    return adapter_class(client, timer)
--- a/endivesill/targets/client.py
+++ b/endivesill/targets/client.py
@@ -1,4 +1,4 @@
-"""Requests to targets over the connections that all forwarding shares."""
+"""HTTP client for requests to targets, with pooled connections."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 )
 from endivesill.timer import TimerService
 
-__all__ = ["TargetAnswer", "TargetClient", "TargetRequest", "place_of"]
+__all__ = ["TargetAnswer", "TargetClient", "TargetRequest", "split_target_url"]
 
 CONNECT_TIMEOUT_S = 1.0
-# Targets keep idle connections longer than this.
-POOLED_IDLE_S = 4.0
+# Shorter than the idle timeout of the targets.
+POOL_IDLE_TIMEOUT_S = 4.0
 DEFAULT_PORTS = {"http": 80, "https": 443}
-# Requests of these methods without a body have no length.
-BODILESS = ("GET", "HEAD", "DELETE", "OPTIONS")
+# Requests of these methods get no Content-Length header if they have no body.
+METHODS_WITHOUT_LENGTH = ("GET", "HEAD", "DELETE", "OPTIONS")
 
 Header = tuple[str, str]
 
@@ -42,9 +42,9 @@
 
     Attributes:
       method: the HTTP method.
-      path: path and query, after the target's own path.
+      path: path and query, appended to the path of the target's URL.
       headers: the end-to-end headers, in order.
-      body: the whole body.
+      body: the complete body.
     """
 
     method: str
@@ -54,12 +54,12 @@
 
 
 class TargetAnswer:
-    """A target's answer, whose body is read in pieces.
+    """A target's response, whose body is read incrementally.
 
     Args:
-      pool: takes the connection back.
-      connection: has the answer.
-      head: its head.
+      pool: the pool to which the connection returns.
+      connection: the connection that receives the response.
+      head: the status and headers of the response.
     """
 
     def __init__(
@@ -72,19 +72,19 @@
 
     @property
     def headers(self) -> tuple[Header, ...]:
-        """The headers as the target sent them."""
+        """The headers in the order in which the target sent them."""
         return tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self._head.headers
         )
 
     def header(self, name: str) -> str:
-        """Return the first value of a header, or an empty text."""
+        """Return the first value of a header, or an empty string."""
         value = header_value(self._head.headers, name.lower().encode())
         return value.decode("latin-1")
 
     async def read(self) -> bytes:
-        """Return bytes of the body that have arrived; b"" at its end.
+        """Wait for bytes of the body and return them; b"" at the end.
 
         Raises:
           TargetError: the connection broke or was closed.
@@ -97,16 +97,16 @@
             raise errors.TargetError(f"no whole answer: {error}") from None
 
     async def read_all(self) -> bytes:
-        """Return the whole body; see `read`."""
+        """Return the rest of the body; raises the errors of `read`."""
         parts = []
         while part := await self.read():
             parts.append(part)
         return b"".join(parts)
 
     def close(self) -> None:
-        """Give the connection back; it is closed unless the answer was read whole.
+        """Release the connection, which is reused only if the body was read to its end.
 
-        A reader that waits is woken with a TargetError.
+        A pending `read` raises TargetError.
         """
         if self._connection is not None:
             self._pool.release(self._connection)
@@ -122,37 +122,37 @@
 
     def __init__(self, timer: TimerService) -> None:
         self._timer = timer
-        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, POOLED_IDLE_S)
+        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, POOL_IDLE_TIMEOUT_S)
 
     async def open(
         self,
         target: Target,
         request: TargetRequest,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
         may_start: Callable[[], bool] | None = None,
     ) -> TargetAnswer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return the response once its head has arrived.
 
         Args:
-          target: whom it goes to.
-          request: what is sent.
-          fresh: whether it gets a new connection: a target may close an idle one
-            just when it is used.
-          may_start: asked once connected, before the first byte goes out.
+          target: the target.
+          request: the request.
+          new_connection: whether to use a new connection. A target may close an
+            idle pooled one at the moment when the request is sent.
+          may_start: called once connected, before the first byte is sent.
 
         Raises:
-          TargetUnreachableError: no connection was made; it has not run.
-          GrantExpiredError: it may not start any more; it has not run.
-          TargetError: it may have run.
+          TargetUnreachableError: no connection was made; the request has not run.
+          GrantExpiredError: `may_start` returned False; the request has not run.
+          TargetError: the request may have run.
         """
-        address, prefix = place_of(target.url)
+        address, prefix = split_target_url(target.url)
         try:
             connection, head = await send_request(
                 self._pool,
                 address,
-                lambda: _encode(address, prefix, request),
-                longest_idle_s=0.0 if fresh else None,
+                lambda: _encode_request(address, prefix, request),
+                longest_idle_s=0.0 if new_connection else None,
                 may_start=may_start or (lambda: True),
                 no_body=request.method == "HEAD",
             )
@@ -166,13 +166,16 @@
         request: TargetRequest,
         timeout_s: float,
     ) -> tuple[int, Any]:
-        """Send a request and return the status and the JSON document of its answer.
+        """Send a request and return the status and body of the response.
+
+        Returns:
+          The parsed JSON body for status 200; the text of the body otherwise.
 
         Raises:
-          TargetError: there is no such answer in time.
+          TargetError: no response in time, or status 200 without valid JSON.
         """
 
-        async def ask() -> tuple[int, bytes]:
+        async def exchange() -> tuple[int, bytes]:
             answer = await self.open(target, request)
             try:
                 return answer.status, await answer.read_all()
@@ -180,7 +183,7 @@
                 answer.close()
 
         try:
-            status, body = await self._timer.wait_for(ask(), timeout_s)
+            status, body = await self._timer.wait_for(exchange(), timeout_s)
         except errors.DeadlineExceededError:
             raise errors.TargetError(f"no answer within {timeout_s} s") from None
         if status != 200:
@@ -195,20 +198,22 @@
         self._pool.close()
 
 
-def place_of(url: str) -> tuple[str, str]:
-    """Return the address that the pool takes and the path before every path."""
+def split_target_url(url: str) -> tuple[str, str]:
+    """Return the pool's address for a target's URL, and the URL's path."""
     parts = urllib.parse.urlsplit(url)
     host = parts.hostname or ""
     port = parts.port or DEFAULT_PORTS[parts.scheme]
-    where = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-    return (f"https://{where}" if parts.scheme == "https" else where), parts.path
+    authority = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+    return (
+        f"https://{authority}" if parts.scheme == "https" else authority
+    ), parts.path
 
 
-def _encode(address: str, prefix: str, request: TargetRequest) -> bytes:
+def _encode_request(address: str, prefix: str, request: TargetRequest) -> bytes:
     start = f"{request.method} {prefix}{request.path} HTTP/1.1".encode()
     headers = [("Host", address.removeprefix("https://")), *request.headers]
-    needs_length = bool(request.body) or request.method not in BODILESS
-    if needs_length and not _names(request.headers, "content-length"):
+    needs_length = bool(request.body) or request.method not in METHODS_WITHOUT_LENGTH
+    if needs_length and not _has_header(request.headers, "content-length"):
         headers.append(("Content-Length", str(len(request.body))))
     pairs = [
         (name.encode("latin-1"), value.encode("latin-1")) for name, value in headers
@@ -216,7 +221,7 @@
     return encode_head(start, pairs) + request.body
 
 
-def _names(headers: Iterable[Header], name: str) -> bool:
+def _has_header(headers: Iterable[Header], name: str) -> bool:
     return any(key.lower() == name for key, _ in headers)
 
 
--- a/endivesill/targets/engine.py
+++ b/endivesill/targets/engine.py
@@ -1,4 +1,4 @@
-"""The adapter to model engines; docs/TARGETS.md describes the protocol."""
+"""Adapter for model engines; docs/TARGETS.md describes the protocol."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 
 
 class EngineStream:
-    """The bytes of a generation that an engine streams.
+    """The byte stream of a generation.
 
     Args:
-      answer: the engine's answer, whose body has not been read.
+      answer: the engine's response, whose body has not been read.
     """
 
     def __init__(self, answer: TargetAnswer) -> None:
         self._answer = answer
 
     async def read(self) -> bytes:
-        """Return all bytes that have arrived, at least one; b"" at the end.
+        """Wait for bytes of the stream and return them; b"" at the end.
 
         Raises:
           TargetError: the connection broke or was closed.
@@ -51,17 +51,16 @@
         return await self._answer.read()
 
     def close(self) -> None:
-        """Close the connection, unless the answer has been read to its end.
+        """Release the connection, which is reused only after the end of the stream.
 
-        A connection with an answer pending is never reused. A reader that waits
-        is woken with a TargetError.
+        A pending `read` raises TargetError.
         """
         self._answer.close()
 
 
 @adapter("engine")
 class EngineAdapter(TargetAdapter):
-    """Speaks to model engines."""
+    """Sends generations, control requests and orders to model engines."""
 
     async def generate(
         self,
@@ -74,12 +73,12 @@
         Args:
           target: the engine.
           request: the attempt.
-          may_start: asked once connected, before the first byte goes out.
+          may_start: called once connected, before the first byte is sent.
 
         Raises:
-          TargetRefusedError: the engine did not run it and says so, or no
-            connection was made, or it may not start any more.
-          TargetError: it may have run.
+          TargetRefusedError: the attempt has not run: the engine refused it, no
+            connection was made, or `may_start` returned False.
+          TargetError: the attempt may have run.
         """
         headers = {
             "Content-Type": "application/json",
@@ -104,19 +103,19 @@
         attempt_id: str,
         previous_attempts: Sequence[str] = (),
     ) -> EngineStream:
-        """Go on with a generation that the engine still holds.
+        """Resume streaming a generation that the engine still holds.
 
         Args:
           target: the engine.
           generation_id: the generation.
-          next_index: the index of the first token wanted.
+          next_index: the index of the first token to stream.
           attempt_id: the new attempt.
-          previous_attempts: the attempts that this one follows; none takes the
-            generation over from any other attempt.
+          previous_attempts: the attempts that this one may supersede; if empty, it
+            supersedes any attempt.
 
         Raises:
-          TargetGoneError: the engine does not hold it.
-          SupersededError: another attempt has taken it over.
+          TargetGoneError: the engine does not hold the generation.
+          SupersededError: another attempt has taken over the generation.
           TargetError: the engine did not answer.
         """
         path = f"/v1/generations/{generation_id}/resume?from={next_index}"
@@ -143,23 +142,26 @@
             events.emit(ANSWER_DROPPED, target=target.name, attempt_id=attempt_id)
             raise errors.TargetError("the answer belongs to another attempt")
         answer.close()
-        raise _refusal(answer)
+        raise _status_error(answer)
 
     async def cancel(
         self, target: Target, generation_id: str, attempts: Sequence[str] = ()
     ) -> None:
-        """Cancel a generation; without an answer the engine's time limit rules.
+        """Cancel a generation; a failure is logged and not raised.
+
+        If the engine does not answer, the generation ends by the engine's own time
+        limit for generations without a reader.
 
         Args:
           target: the engine.
           generation_id: the generation.
-          attempts: cancel only if the last attempt that streamed it is one of
-            these; none cancels in any case.
+          attempts: cancel only if the last attempt that streamed the generation is
+            one of these; if empty, cancel unconditionally.
         """
         headers = {PREVIOUS_ATTEMPTS_HEADER: ",".join(attempts)} if attempts else {}
         path = f"/v1/generations/{generation_id}/cancel"
         try:
-            await self._control("POST", target, path, headers=headers)
+            await self._request_json("POST", target, path, headers=headers)
         except errors.TargetError as error:
             events.emit(
                 CANCEL_FAILED,
@@ -171,33 +173,33 @@
     async def move(
         self, target: Target, generation_id: str, destination: Target
     ) -> None:
-        """Let an engine hand a generation to another engine.
+        """Make an engine transfer a generation to another engine.
 
         Raises:
-          TargetStatusError: the engine keeps it.
-          TargetError: it did not answer; it may have handed it over.
+          TargetStatusError: the engine refused and keeps the generation.
+          TargetError: no answer; the generation may have been transferred.
         """
         path = f"/v1/generations/{generation_id}/move"
         body = {"to": destination.url}
-        await self._control("POST", target, path, body, timeout_s=MOVE_TIMEOUT_S)
+        await self._request_json("POST", target, path, body, timeout_s=MOVE_TIMEOUT_S)
 
     async def load(self, target: Target) -> LoadReport:
-        """Ask for the load report.
+        """Fetch the load report.
 
         Raises:
-          TargetError: no usable answer.
+          TargetError: no valid answer.
         """
-        document = await self._control("GET", target, "/v1/load")
+        document = await self._request_json("GET", target, "/v1/load")
         return parse_load_report(document)
 
     async def cache_events(self, target: Target, after: int) -> CacheEvents:
-        """Ask for the cache events after a sequence number.
+        """Fetch the cache events after a sequence number; 0 fetches all.
 
         Raises:
-          TargetError: no usable answer.
+          TargetError: no valid answer.
         """
         path = f"/v1/cache-events?after={after}"
-        document = await self._control("GET", target, path)
+        document = await self._request_json("GET", target, path)
         try:
             cached = tuple(CacheEvent(**event) for event in document["events"])
             return CacheEvents(document["boot_id"], document["first_sequence"], cached)
@@ -205,18 +207,18 @@
             raise errors.TargetError(f"bad cache events: {error!r}") from None
 
     async def order(self, target: Target, order: Order) -> LoadReport:
-        """Give an order and return the state after it.
+        """Send an order and return the engine's state after it.
 
         Raises:
-          TargetRefusedError: the engine refused the fencing token.
+          TargetRefusedError: the engine rejected the fencing token.
           TargetError: no answer; the order may have run.
         """
-        document = await self._control(
+        document = await self._request_json(
             "POST", target, "/v1/orders", attrs.asdict(order)
         )
         return parse_load_report(document)
 
-    async def _control(
+    async def _request_json(
         self,
         method: str,
         target: Target,
@@ -226,12 +228,12 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> dict[str, Any]:
-        sent = dict(headers or {})
+        all_headers = dict(headers or {})
         data = b""
         if body is not None:
             data = json.dumps(body).encode()
-            sent["Content-Type"] = "application/json"
-        request = TargetRequest(method, path, tuple(sent.items()), data)
+            all_headers["Content-Type"] = "application/json"
+        request = TargetRequest(method, path, tuple(all_headers.items()), data)
         status, document = await self.client.json(target, request, timeout_s)
         if status == 409:
             raise errors.TargetRefusedError(str(document))
@@ -240,7 +242,7 @@
         return document
 
 
-def _refusal(answer: TargetAnswer) -> errors.TargetError:
+def _status_error(answer: TargetAnswer) -> errors.TargetError:
     detail = f"the engine answered {answer.status}"
     if answer.status in (404, 410):
         return errors.TargetGoneError(detail, answer.header(MOVED_HEADER))
@@ -252,10 +254,10 @@
 
 
 def parse_load_report(document: dict[str, Any]) -> LoadReport:
-    """Return the load report of a JSON object; unknown fields are left out.
+    """Parse a load report; unknown fields are ignored.
 
     Raises:
-      TargetError: a needed field is missing.
+      TargetError: a required field is missing or the document is no object.
     """
     known = {attribute.name for attribute in attrs.fields(LoadReport)}
     try:
--- a/endivesill/targets/events.py
+++ b/endivesill/targets/events.py
@@ -1,12 +1,12 @@
-"""Log events of the exchanges with targets."""
+"""Log events of requests to targets."""
 
 from endivesill import events
 
 __all__ = ["ANSWER_DROPPED", "CANCEL_FAILED"]
 
 ANSWER_DROPPED = events.define(
-    4101, "answer-dropped", "A late or crossed answer of a target was dropped."
+    4101, "answer-dropped", "A response that belongs to another attempt was dropped."
 )
 CANCEL_FAILED = events.define(
-    4102, "cancel-failed", "An engine did not answer the cancel of a generation."
+    4102, "cancel-failed", "An engine did not confirm the cancellation of a generation."
 )
--- a/endivesill/targets/messages.py
+++ b/endivesill/targets/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the targets' protocol; docs/TARGETS.md describes it."""
+"""Messages of the target protocol, described in docs/TARGETS.md."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     """One attempt at a generation.
 
     Attributes:
-      path: the OpenAI-style path that the caller used.
+      path: the OpenAI-style path of the caller's request.
       body: the caller's JSON body with `stream` set.
-      generation_id: stays the same over all attempts.
+      generation_id: the same for all attempts.
       attempt_id: unique to this attempt; the engine echoes it.
-      priority: 0 is first.
+      priority: 0 is the highest.
     """
 
     path: str
@@ -28,19 +28,19 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an engine says of itself; it lags.
+    """State of an engine as it reports it, with some delay.
 
     Attributes:
-      boot_id: changes when the engine starts anew and is cold.
-      running: requests that are decoded now.
-      waiting: requests that wait at the engine.
-      memory_tokens: tokens that its memory holds.
-      used_tokens: tokens in its memory now.
+      boot_id: changes when the engine restarts, after which it is cold.
+      running: requests being decoded.
+      waiting: requests queued at the engine.
+      memory_tokens: capacity of its KV cache in tokens.
+      used_tokens: tokens in its KV cache.
       preemptions: preemptions since the boot.
       generated_tokens: tokens generated since the boot.
-      leaving_in_s: seconds until the engine goes; None if it stays.
-      model: the model loaded.
-      adapters: the adapters loaded.
+      leaving_in_s: seconds until the engine shuts down; None if it stays.
+      model: the loaded model.
+      adapters: the loaded adapters.
       role: `mixed`, `prefill` or `decode`.
     """
 
@@ -59,13 +59,13 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A prefix that entered or left an engine's cache.
+    """A change of an engine's prefix cache.
 
     Attributes:
-      sequence: consecutive from 1 since the boot.
+      sequence: consecutive number, from 1 at the boot.
       kind: `stored`, `evicted` or `cleared`.
-      prefix: the prefix's hash, as `routing` computes it.
-      tokens: the prefix's length.
+      prefix: hash of the prefix, as computed by `routing.prefix_hashes`.
+      tokens: length of the prefix.
     """
 
     sequence: int
@@ -76,12 +76,12 @@
 
 @attrs.frozen
 class CacheEvents:
-    """An answer to a poll for cache events.
+    """The answer to a request for cache events.
 
     Attributes:
-      boot_id: the engine's boot.
+      boot_id: the engine's boot id.
       first_sequence: the oldest sequence number that the engine still has.
-      events: the events after the one asked for.
+      events: the events after the requested sequence number.
     """
 
     boot_id: str
@@ -94,8 +94,8 @@
     """An order to an engine.
 
     Attributes:
-      order_id: a resent order has the same id and runs once.
-      fencing_token: grows with each orderer.
+      order_id: a resent order keeps its id and is executed only once.
+      fencing_token: increases with each new orderer.
       kind: `load-model`, `load-adapter` or `change-role`.
       subject: the model, adapter or role.
       version: the version to load; empty for a role.
--- a/endivesill/targets/monitor.py
+++ b/endivesill/targets/monitor.py
@@ -1,4 +1,4 @@
-"""Polls load reports and cache events of the targets that this VM is home of."""
+"""Polls load reports and cache events of the targets that this VM owns."""
 
 from __future__ import annotations
 
@@ -23,73 +23,73 @@
 __all__ = ["MonitoredAdapter", "TargetMonitor", "TargetSink"]
 
 TICK_S = 0.5
-LOAD_PERIOD_S = 1.0
-CACHE_PERIOD_S = 4.0
+LOAD_POLL_PERIOD_S = 1.0
+CACHE_POLL_PERIOD_S = 4.0
 RESYNC_PERIOD_S = 20.0
 POLL_TIMEOUT_S = 2.0
-FAILURES_TO_SILENT = 2
+FAILURES_UNTIL_SILENT = 2
 
 
 class MonitoredAdapter(Protocol):
-    """What the monitor needs of the engine adapter."""
+    """The part of the engine adapter that the monitor uses."""
 
     async def load(self, target: Target) -> LoadReport:
-        """Ask for the load report."""
+        """Fetch the load report."""
 
     async def cache_events(self, target: Target, after: int) -> CacheEvents:
-        """Ask for the cache events after a sequence number."""
+        """Fetch the cache events after a sequence number; 0 fetches all."""
 
 
 class TargetSink(Protocol):
-    """Who is told what the polls found."""
+    """Receives the load and health of the polled targets."""
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
-        """Take a load report."""
+        """Handle a load report."""
 
     def observe_silence(self, target: Target) -> None:
-        """Note that the target does not answer."""
+        """Handle a target that has stopped answering polls."""
 
     def observe_cache_cleared(self, target: Target) -> None:
-        """Note that the target has lost its prefix cache."""
+        """Handle the loss of a target's prefix cache."""
 
 
 class CacheSink(Protocol):
-    """Who keeps the index of cached prefixes."""
+    """Receives the cache events; keeps an index of the cached prefixes."""
 
     def last_sequence(self, target_name: str) -> int:
-        """Return the last sequence number that was applied."""
+        """Return the last sequence number applied; 0 if none was."""
 
     def needs_resync(self, target_name: str) -> bool:
-        """Tell whether events were lost."""
+        """Tell whether events of the target are missing."""
 
     def apply(self, target_name: str, events: CacheEvents) -> bool:
-        """Apply events; return whether none is missing."""
+        """Apply events; return False if some are missing."""
 
     def resync(self, target_name: str, events: CacheEvents) -> None:
-        """Rebuild from all events that there are."""
+        """Rebuild the index of a target from all its events."""
 
 
 @attrs.define
-class _Watch:
-    """The polls of one target."""
+class _PollState:
+    """State of the polls of one target; times are those of the last poll."""
 
-    load_s: float = -math.inf
-    cache_s: float = -math.inf
-    resync_s: float = -math.inf
+    load_polled_s: float = -math.inf
+    cache_polled_s: float = -math.inf
+    resynced_s: float = -math.inf
     failures: int = 0
-    busy: bool = False
+    in_flight: bool = False
 
 
 class TargetMonitor(Service):
-    """Polls the engines that this VM is home of; plain services report nothing.
+    """Polls the engines that this VM owns; plain services have no load reports.
 
     Args:
       timer: the timer service.
       configuration: returns the configuration in force.
       adapter: the engine adapter.
-      is_home: tells whether this VM is a target's home.
-      sink: who is told of load.
-      cache: who keeps the prefix index.
+      is_owner: tells whether this VM owns a target.
+      sink: receives load and health.
+      cache: receives cache events.
     """
 
     def __init__(
@@ -97,17 +97,17 @@
         timer: TimerService,
         configuration: Callable[[], Configuration],
         adapter: MonitoredAdapter,
-        is_home: Callable[[Target], bool],
+        is_owner: Callable[[Target], bool],
         sink: TargetSink,
         cache: CacheSink,
     ) -> None:
         self._timer = timer
         self._configuration = configuration
         self._adapter = adapter
-        self._is_home = is_home
+        self._is_owner = is_owner
         self._sink = sink
         self._cache = cache
-        self._watches: dict[str, _Watch] = {}
+        self._states: dict[str, _PollState] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._ticker: TimerHandle | None = None
 
@@ -125,56 +125,58 @@
 
     def _tick(self) -> None:
         configuration = self._configuration()
-        homes = set()
+        owned = set()
         for target in configuration.targets.values():
             service = configuration.services.get(target.service)
             if service is None or service.protocol != "engine":
                 continue
-            if self._is_home(target):
-                homes.add(target.name)
+            if self._is_owner(target):
+                owned.add(target.name)
                 self._poll_if_due(target)
-        for name in list(self._watches):
-            if name not in homes:
-                del self._watches[name]
+        for name in list(self._states):
+            if name not in owned:
+                del self._states[name]
 
     def _poll_if_due(self, target: Target) -> None:
-        watch = self._watches.setdefault(target.name, _Watch())
+        state = self._states.setdefault(target.name, _PollState())
         now_s = self._timer.now_s()
-        if watch.busy or now_s - watch.load_s < LOAD_PERIOD_S:
+        if state.in_flight or now_s - state.load_polled_s < LOAD_POLL_PERIOD_S:
             return
-        watch.busy = True
-        watch.load_s = now_s
-        task = asyncio.ensure_future(self._poll(target, watch))
+        state.in_flight = True
+        state.load_polled_s = now_s
+        task = asyncio.ensure_future(self._poll(target, state))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _poll(self, target: Target, watch: _Watch) -> None:
+    async def _poll(self, target: Target, state: _PollState) -> None:
         try:
-            await self._timer.wait_for(self._read(target, watch), POLL_TIMEOUT_S)
+            await self._timer.wait_for(self._poll_load(target, state), POLL_TIMEOUT_S)
         except (errors.TargetError, errors.DeadlineExceededError) as error:
-            watch.failures += 1
-            if watch.failures == FAILURES_TO_SILENT:
+            state.failures += 1
+            if state.failures == FAILURES_UNTIL_SILENT:
                 events.emit(TARGET_SILENT, target=target.name, error=str(error))
                 self._sink.observe_silence(target)
         finally:
-            watch.busy = False
+            state.in_flight = False
 
-    async def _read(self, target: Target, watch: _Watch) -> None:
+    async def _poll_load(self, target: Target, state: _PollState) -> None:
         report = await self._adapter.load(target)
-        if watch.failures >= FAILURES_TO_SILENT:
+        if state.failures >= FAILURES_UNTIL_SILENT:
             events.emit(TARGET_ANSWERING, target=target.name)
-        watch.failures = 0
+        state.failures = 0
         self._sink.observe_load(target, report)
         now_s = self._timer.now_s()
-        if now_s - watch.cache_s >= CACHE_PERIOD_S:
-            watch.cache_s = now_s
-            await self._read_cache(target, watch, now_s)
+        if now_s - state.cache_polled_s >= CACHE_POLL_PERIOD_S:
+            state.cache_polled_s = now_s
+            await self._poll_cache(target, state, now_s)
 
-    async def _read_cache(self, target: Target, watch: _Watch, now_s: float) -> None:
+    async def _poll_cache(
+        self, target: Target, state: _PollState, now_s: float
+    ) -> None:
         name = target.name
         resync = self._cache.needs_resync(name)
-        if resync and now_s - watch.resync_s >= RESYNC_PERIOD_S:
-            watch.resync_s = now_s
+        if resync and now_s - state.resynced_s >= RESYNC_PERIOD_S:
+            state.resynced_s = now_s
             found = await self._adapter.cache_events(target, 0)
             self._cache.resync(name, found)
             return
--- a/endivesill/targets/plain.py
+++ b/endivesill/targets/plain.py
@@ -1,4 +1,4 @@
-"""The adapter to plain services: passes calls through unchanged."""
+"""Adapter for plain services, which forwards calls unchanged."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 __all__ = ["PlainAdapter", "PlainAnswer", "PlainCall", "end_to_end_headers"]
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "host",
@@ -40,9 +40,9 @@
       method: the HTTP method.
       path: path and query as the caller sent them, without the service prefix.
       headers: the end-to-end headers, in order.
-      body: the whole body.
+      body: the complete body.
       attempt_id: unique to this attempt.
-      repeatable: whether it may be sent on a pooled connection.
+      repeatable: whether the call may be sent on a pooled connection.
     """
 
     method: str
@@ -54,10 +54,10 @@
 
 
 class PlainAnswer:
-    """A plain service's answer, whose body is read in pieces.
+    """A plain service's response, whose body is read incrementally.
 
     Args:
-      answer: the answer, whose body has not been read.
+      answer: the target's response, whose body has not been read.
     """
 
     def __init__(self, answer: TargetAnswer) -> None:
@@ -65,12 +65,12 @@
         self.status = answer.status
         self.headers = end_to_end_headers(answer.headers)
 
-    def says_not_run(self) -> bool:
-        """Tell whether the target says itself that it did not run the call."""
+    def reports_not_run(self) -> bool:
+        """Tell whether the target reports that it did not run the call."""
         return self.status == 503 and self._answer.header(RUN_HEADER) == NOT_RUN
 
     async def read(self) -> bytes:
-        """Return bytes of the body that have arrived; b"" at its end.
+        """Wait for bytes of the body and return them; b"" at the end.
 
         Raises:
           TargetError: the connection broke or was closed.
@@ -78,26 +78,26 @@
         return await self._answer.read()
 
     def close(self) -> None:
-        """Close the connection, unless the answer has been read to its end."""
+        """Release the connection, which is reused only after the end of the body."""
         self._answer.close()
 
 
 def end_to_end_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return headers without the hop-by-hop ones and those Connection names."""
+    """Return headers without hop-by-hop ones, those listed in Connection included."""
     pairs = list(headers)
-    named = {
-        word.strip().lower()
+    listed = {
+        token.strip().lower()
         for name, value in pairs
         if name.lower() == "connection"
-        for word in value.split(",")
+        for token in value.split(",")
     }
-    dropped = HOP_BY_HOP | named
+    dropped = HOP_BY_HOP_HEADERS | listed
     return tuple((n, v) for n, v in pairs if n.lower() not in dropped)
 
 
 @adapter("plain")
 class PlainAdapter(TargetAdapter):
-    """Passes calls to plain services."""
+    """Forwards calls to plain services."""
 
     async def call(
         self,
@@ -106,30 +106,30 @@
         timeout_s: float,
         may_start: Callable[[], bool] | None = None,
     ) -> PlainAnswer:
-        """Send one call and return the answer once its headers are there.
+        """Send a call and return the response once its headers have arrived.
 
         Args:
           target: the plain service.
           call: the call.
-          timeout_s: the longest wait for the answer's headers.
-          may_start: asked once connected, before the first byte goes out.
+          timeout_s: limit on the wait for the response headers.
+          may_start: called once connected, before the first byte is sent.
 
         Raises:
-          TargetRefusedError: no connection was made or it may not start any
-            more, so it has not run; or the target says so itself.
-          TargetError: it may have run.
+          TargetRefusedError: the call has not run: no connection was made,
+            `may_start` returned False, or the target reports so.
+          TargetError: the call may have run.
         """
         headers = (*call.headers, ("X-Attempt-Id", call.attempt_id))
         request = TargetRequest(call.method, call.path, headers, call.body)
         opening = self.client.open(
-            target, request, fresh=not call.repeatable, may_start=may_start
+            target, request, new_connection=not call.repeatable, may_start=may_start
         )
         try:
             opened = await self.timer.wait_for(opening, timeout_s)
         except errors.DeadlineExceededError:
             raise errors.TargetError(f"no answer within {timeout_s} s") from None
         answer = PlainAnswer(opened)
-        if answer.says_not_run():
+        if answer.reports_not_run():
             answer.close()
             raise errors.TargetRefusedError("the target says that it did not run it")
         return answer
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of the adapters and of the stand-ins that speak their protocol."""
+"""Tests of the target adapters and the stand-in engine and service."""
 
 import asyncio
 import pathlib
@@ -20,7 +20,7 @@
     TargetClient,
     TargetRequest,
 )
-from endivesill.targets.client import place_of
+from endivesill.targets.client import split_target_url
 from endivesill.timer import ManualTimer, SystemTimer
 from tests.entry_fakes import ScriptedTarget, until
 
@@ -46,33 +46,37 @@
             await target.read_request(reader)
 
         target = ScriptedTarget(once_then_close)
-        where = target_at(await target.start())
+        target_config = target_at(await target.start())
         call = PlainCall("PUT", "/x", (), b"body", "a")
-        answer = await self.adapter.call(where, call, 2.0)
+        answer = await self.adapter.call(target_config, call, 2.0)
         answer.close()
         with self.assertRaises(errors.TargetError) as caught:
-            await self.adapter.call(where, call, 2.0)
+            await self.adapter.call(target_config, call, 2.0)
         self.assertEqual(errors.RunState.UNKNOWN, caught.exception.run)
         self.assertEqual((1, 2), (target.connections, len(target.ran)))
         await target.stop()
 
     async def test_a_refused_connection_is_not_run(self):
         target = ScriptedTarget()
-        where = target_at(await target.start())
+        target_config = target_at(await target.start())
         await target.stop()
         with self.assertRaises(errors.TargetUnreachableError) as caught:
-            await self.adapter.call(where, PlainCall("GET", "/", (), b"", "a"), 2.0)
+            await self.adapter.call(
+                target_config, PlainCall("GET", "/", (), b"", "a"), 2.0
+            )
         self.assertEqual(errors.RunState.NOT_RUN, caught.exception.run)
 
-    async def test_a_late_answer_is_unknown(self):
+    async def test_the_outcome_of_a_late_answer_is_unknown(self):
         async def late(target, reader, writer):
             await target.read_request(reader)
             await asyncio.sleep(1)
 
         target = ScriptedTarget(late)
-        where = target_at(await target.start())
+        target_config = target_at(await target.start())
         with self.assertRaises(errors.TargetError) as caught:
-            await self.adapter.call(where, PlainCall("GET", "/", (), b"", "a"), 0.1)
+            await self.adapter.call(
+                target_config, PlainCall("GET", "/", (), b"", "a"), 0.1
+            )
         self.assertEqual(errors.RunState.UNKNOWN, caught.exception.run)
         await target.stop()
 
@@ -121,7 +125,7 @@
         self.assertEqual(self.engine.boot_id, later.boot_id)
         stream.close()
 
-    async def test_a_cold_engine_slows_down_under_load_until_it_has_answered(self):
+    async def test_a_cold_engine_is_slow_under_load_until_it_has_warmed_up(self):
         streams = [await self.generate(str(number)) for number in range(3)]
         await until(lambda: self.engine.running == 3)
         self.assertEqual(9.0, self.engine.slowdown())
@@ -194,28 +198,30 @@
             writer.write(answer)
 
         target = ScriptedTarget(script)
-        where = target_at(await target.start())
+        target_config = target_at(await target.start())
         self.addAsyncCleanup(target.stop)
-        return where
+        return target_config
 
-    async def test_json_of_an_answer(self):
-        where = await self.scripted(
+    async def test_a_json_answer_is_parsed(self):
+        target_config = await self.scripted(
             b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"a": 1}'
         )
-        found = await self.client.json(where, TargetRequest("GET", "/x"), 2.0)
+        found = await self.client.json(target_config, TargetRequest("GET", "/x"), 2.0)
         self.assertEqual((200, {"a": 1}), found)
 
     async def test_an_answer_without_json_is_an_error(self):
-        where = await self.scripted(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]")
+        target_config = await self.scripted(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]"
+        )
         with self.assertRaises(errors.TargetError):
-            await self.client.json(where, TargetRequest("GET", "/x"), 2.0)
+            await self.client.json(target_config, TargetRequest("GET", "/x"), 2.0)
 
-    async def test_a_target_without_a_port_has_that_of_its_scheme(self):
-        self.assertEqual(("10.0.0.1:80", ""), place_of("http://10.0.0.1"))
-        self.assertEqual(("https://h:443", "/p"), place_of("https://h/p"))
-        self.assertEqual(("[::1]:8080", ""), place_of("http://[::1]:8080"))
+    async def test_the_default_port_follows_the_scheme(self):
+        self.assertEqual(("10.0.0.1:80", ""), split_target_url("http://10.0.0.1"))
+        self.assertEqual(("https://h:443", "/p"), split_target_url("https://h/p"))
+        self.assertEqual(("[::1]:8080", ""), split_target_url("http://[::1]:8080"))
 
-    async def test_a_target_with_tls_is_asked_with_tls(self):
+    async def test_https_targets_use_tls(self):
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.load_cert_chain(DATA / "tls-certificate.pem", DATA / "tls-key.pem")
 
@@ -225,25 +231,27 @@
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0, ssl=context)
         port = server.sockets[0].getsockname()[1]
-        where = Target(
+        target_config = Target(
             "t", service="s", url=f"https://127.0.0.1:{port}", data_centre="a"
         )
-        # Nobody vouches for the certificate of the tests.
+        # The certificate of the tests is not trusted by default.
         with self.assertRaises(errors.TargetUnreachableError):
-            await self.client.open(where, TargetRequest("GET", "/"))
+            await self.client.open(target_config, TargetRequest("GET", "/"))
         self.client._pool._tls = ssl.create_default_context(
             cafile=str(DATA / "tls-certificate.pem")
         )
         self.client._pool._tls.check_hostname = False
-        answer = await self.client.open(where, TargetRequest("GET", "/"))
+        answer = await self.client.open(target_config, TargetRequest("GET", "/"))
         self.assertEqual(b"ok", await answer.read_all())
         answer.close()
         server.close()
         await server.wait_closed()
 
-    async def test_a_closed_answer_wakes_who_reads_it(self):
-        where = await self.scripted(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-        answer = await self.client.open(where, TargetRequest("GET", "/x"))
+    async def test_closing_an_answer_wakes_its_reader(self):
+        target_config = await self.scripted(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
+        )
+        answer = await self.client.open(target_config, TargetRequest("GET", "/x"))
         reading = asyncio.ensure_future(answer.read())
         await asyncio.sleep(0)
         answer.close()
--- a/tests/test_targets_monitor.py
+++ b/tests/test_targets_monitor.py
@@ -11,7 +11,7 @@
 
 
 class FakeAdapter:
-    """Answers polls as the test sets."""
+    """An engine adapter whose answers the test sets."""
 
     def __init__(self):
         self.alive = True
@@ -32,19 +32,19 @@
 
 
 class FakeSink:
-    """Notes what it is told."""
+    """Records the calls of the monitor."""
 
     def __init__(self):
-        self.told = []
+        self.calls = []
 
     def observe_load(self, target, report):
-        self.told.append("load")
+        self.calls.append("load")
 
     def observe_silence(self, target):
-        self.told.append("silence")
+        self.calls.append("silence")
 
     def observe_cache_cleared(self, target):
-        self.told.append("cleared")
+        self.calls.append("cleared")
 
 
 class TargetMonitorTest(unittest.IsolatedAsyncioTestCase):
@@ -53,39 +53,41 @@
         self.adapter = FakeAdapter()
         self.sink = FakeSink()
         self.index = PrefixIndex()
-        self.homes = {"e0"}
+        self.owned = {"e0"}
         source = make_source([make_target("e0"), make_target("e1")])
         self.monitor = TargetMonitor(
             self.timer,
             source.current,
             self.adapter,
-            lambda target: target.name in self.homes,
+            lambda target: target.name in self.owned,
             self.sink,
             self.index,
         )
         await self.monitor.start()
         self.addAsyncCleanup(self.monitor.stop)
 
-    async def test_polls_only_the_targets_it_is_home_of(self):
+    async def test_only_owned_targets_are_polled(self):
         await self.timer.advance(10.0)
         names = {name for kind, name in self.adapter.polls if kind == "load"}
         self.assertEqual({"e0"}, names)
 
-    async def test_silence_is_told_once_and_the_return_is_noticed(self):
+    async def test_silence_is_reported_once_and_recovery_is_noticed(self):
         self.adapter.alive = False
         await self.timer.advance(20.0)
-        self.assertEqual(["silence"], self.sink.told)
+        self.assertEqual(["silence"], self.sink.calls)
         self.adapter.alive = True
         await self.timer.advance(5.0)
-        self.assertIn("load", self.sink.told)
+        self.assertIn("load", self.sink.calls)
 
-    async def test_notice_of_an_idle_target_is_seen_within_two_seconds(self):
+    async def test_idle_target_is_polled_so_that_a_notice_is_seen_within_two_seconds(
+        self,
+    ):
         self.adapter.running = 0
         await self.timer.advance(10.0)
         for _ in range(20):
-            seen = self.sink.told.count("load")
+            seen = self.sink.calls.count("load")
             await self.timer.advance(1.5)
-            self.assertGreater(self.sink.told.count("load"), seen)
+            self.assertGreater(self.sink.calls.count("load"), seen)
 
     async def test_gap_in_cache_events_leads_to_a_resync(self):
         self.adapter.events = [CacheEvent(1, "stored", "a", 128)]
@@ -98,7 +100,7 @@
         self.assertFalse(self.index.needs_resync("e0"))
         self.assertEqual(frozenset(), self.index.holders(("a",)))
 
-    async def test_cleared_cache_is_told(self):
+    async def test_cleared_cache_is_reported(self):
         self.adapter.events = [CacheEvent(1, "cleared", "", 0)]
         await self.timer.advance(6.0)
-        self.assertIn("cleared", self.sink.told)
+        self.assertIn("cleared", self.sink.calls)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -1,4 +1,4 @@
-"""Tests of the token scan."""
+"""Tests of the token scanner."""
 
 import unittest
 
@@ -47,8 +47,8 @@
             scanner.scan(event(1) + b"data: [DONE]\n\n")
         self.assertFalse(scanner.done)
 
-    def test_a_restart_forgets_half_an_event(self):
+    def test_an_incomplete_event_can_be_discarded(self):
         scanner = TokenScanner("g")
         scanner.scan(event(0) + event(1)[:7])
-        scanner.restart()
+        scanner.discard_incomplete()
         self.assertEqual(event(1), scanner.scan(event(1)).data)
