--- a/endivesill/routing/credit_client.py
+++ b/endivesill/routing/credit_client.py
@@ -96,8 +96,8 @@
         self._demand_s: dict[str, float] = {}
         self._local_requested_s: dict[str, float] = {}
         self._deferred: set[str] = set()
-        self._number = 0
-        self._checked: Configuration | None = None
+        self._request_number = 0
+        self._checked_configuration: Configuration | None = None
         self._ticker: TimerHandle | None = None
         self.usage_of: Callable[[Target], Usage] = lambda target: Usage()
         self.running_at: Callable[[Target], int] = lambda target: 0
@@ -195,9 +195,12 @@
     def _tick(self) -> None:
         now_s = self._timer.now_s()
         configuration = self._configuration()
-        if configuration is not self._checked and self._membership is not None:
+        if (
+            configuration is not self._checked_configuration
+            and self._membership is not None
+        ):
             self._drop_stale_allocations()
-        self._checked = configuration
+        self._checked_configuration = configuration
         targets = configuration.targets
         for name, demand_s in list(self._demand_s.items()):
             target = targets.get(name)
@@ -248,12 +251,12 @@
 
     async def _request(self, owner: _OwnerState, targets: list[Target]) -> None:
         assert self._peers is not None
-        self._number += 1
+        self._request_number += 1
         usages = {target.name: self.usage_of(target) for target in targets}
         message = {
             "from": self._entry_id,
             "address": self._peers.address,
-            "number": self._number,
+            "number": self._request_number,
             "use": {name: usage_fields(usage) for name, usage in usages.items()},
         }
         # Counting from before the request makes the allocation expire here first.
--- a/endivesill/routing/lengths.py
+++ b/endivesill/routing/lengths.py
@@ -47,7 +47,7 @@
 
     @classmethod
     def from_prior(cls, mean_tokens: int) -> LengthHistogram:
-        """Return a histogram whose prior is spread around an expected length."""
+        """Return a histogram initialised with a spread around an expected length."""
         histogram = cls()
         for factor, share in ((0.125, 0.2), (0.4, 0.3), (0.9, 0.3), (3.0, 0.2)):
             histogram.add(max(1.0, factor * mean_tokens), share * PRIOR_WEIGHT)
--- a/endivesill/routing/policy.py
+++ b/endivesill/routing/policy.py
@@ -143,9 +143,9 @@
 def policy(name: str) -> Callable[[PolicyT], PolicyT]:
     """Register a policy class under the name used in a service's configuration."""
 
-    def register(kind: PolicyT) -> PolicyT:
-        POLICIES[name] = kind
-        return kind
+    def register(policy_class: PolicyT) -> PolicyT:
+        POLICIES[name] = policy_class
+        return policy_class
 
     return register
 
--- a/endivesill/routing/retries.py
+++ b/endivesill/routing/retries.py
@@ -33,7 +33,7 @@
         )
 
     def succeeded(self, service: str, organisation: str) -> None:
-        """Add the earnings of one success to the budget."""
+        """Add the fraction of a retry that one success earns."""
         key = (service, organisation)
         budget = self._budgets.get(key, INITIAL_BUDGET) + RETRY_RATIO
         self._budgets[key] = min(MAXIMUM_BUDGET, budget)
--- a/tests/test_routing_credit_exchange.py
+++ b/tests/test_routing_credit_exchange.py
@@ -112,9 +112,7 @@
         await fleet.request_credits(fleet.a, fleet.b)
         self.assertEqual([4, 4], [fleet.slots(fleet.a), fleet.slots(fleet.b)])
 
-    async def test_successor_of_a_dead_owner_allocates_cold_until_allocations_expired(
-        self,
-    ):
+    async def test_successor_of_a_dead_owner_allocates_cold_until_expiry(self):
         fleet = self.fleet
         await fleet.request_credits(fleet.b)
         fleet.b.running = 3
--- a/tests/test_routing_credits.py
+++ b/tests/test_routing_credits.py
@@ -232,14 +232,14 @@
         self.allocation = None
         self.expires_s = 0.0
 
-    def usage(self, ahead):
+    def usage(self, headroom):
         self.minimum_since_request = self.running
         return Usage(
             slots=self.running,
-            headroom_slots=ahead,
+            headroom_slots=headroom,
             serial=self.allocation.serial if self.allocation else 0,
             completed=1,
-            queued=ahead % 3,
+            queued=headroom % 3,
             minimum_slots=self.minimum,
         )
 
@@ -327,7 +327,7 @@
     def running(self):
         return self.orphans + sum(entry.running for entry in self.entries)
 
-    def possible(self):
+    def possible_load(self):
         startable = sum(entry.startable(self.now_s) for entry in self.entries)
         return self.running() + startable
 
@@ -343,7 +343,7 @@
     maximum = 0
     for action in actions:
         model.step(action, source.randrange(4), source.randint(1, MAXIMUM_SLOTS))
-        maximum = max(maximum, model.possible())
+        maximum = max(maximum, model.possible_load())
     return maximum
 
 
--- a/tests/test_routing_prefixes.py
+++ b/tests/test_routing_prefixes.py
@@ -48,8 +48,8 @@
 
     def test_gap_marks_the_index_stale_until_a_resync(self):
         self.index.apply("e0", events((1, "stored", "a")))
-        whole = self.index.apply("e0", events((3, "stored", "c")))
-        self.assertFalse(whole)
+        complete = self.index.apply("e0", events((3, "stored", "c")))
+        self.assertFalse(complete)
         self.assertTrue(self.index.needs_resync("e0"))
         self.assertLess(self.index.cached_tokens("e0", ("a",)), PREFIX_BLOCK_TOKENS)
         self.index.resync("e0", events((1, "stored", "a"), (2, "evicted", "a")))
