--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -1,10 +1,10 @@
-"""The soak of the platform's programs: real processes under faults from outside.
+"""Soak of the platform processes: a real fleet under injected faults.
 
     python -m bench.platform_soak [--seed N] [--seeds COUNT] [--fault-s S] [--jobs J]
 
-It starts three control VMs and three entries, calls them, changes the configuration,
-injects the faults of the seed, and checks what callers, operators and targets have
-seen. It ends only processes that it has started. Logs stay in run/platform-soak.
+Starts three control VMs and three entries, sends requests and configuration changes,
+injects the faults drawn from the seed, and checks what callers, operators and targets
+observed. Ends only processes that it started. Logs stay in run/platform-soak.
 """
 
 from __future__ import annotations
@@ -27,180 +27,197 @@
 from bench.platform_soak_callers import Callers, CallRecord, Operator
 from bench.platform_soak_faults import Fault, make_faults
 from bench.platform_soak_fleet import DATA_CENTRES, GRACE_S, SoakFleet, SoakProcess
-from bench.platform_soak_targets import PlatformList, SoakTarget
+from bench.platform_soak_targets import PlatformTargetList, SoakTarget
 from endivesill.timer import SystemTimer
 
 __all__ = ["Soak", "main"]
 
 RUN_FOLDER = pathlib.Path("run/platform-soak")
-FAULT_S = 20.0
-START_LIMIT_S = 20.0
-# After the last fault has ended; calls are judged in its second half.
-QUIET_S = 14.0
-SETTLE_S = 7.0
-SERVED_SHARE = 0.75
-READ_LIMIT_S = 8.0
-# Numbers of the fleets of runs by hand; tests take those beyond.
-FIRST_NUMBER = 256
-SEED_NUMBERS = 20_000
-# What a run may take besides its faults, from the start to the last check.
+FAULT_PERIOD_S = 20.0
+START_TIMEOUT_S = 20.0
+# Load continues this long after the last fault has ended.
+FAULT_FREE_S = 14.0
+# Requests sent later than this after the last fault must be served again.
+RECOVERY_LIMIT_S = 7.0
+MIN_SERVED_FRACTION = 0.75
+READ_TIMEOUT_S = 8.0
+# Fleet numbers of manual runs; tests use higher ones.
+FIRST_FLEET_NUMBER = 256
+FLEET_NUMBERS = 20_000
+# Time for a run besides its fault period, from the start to the last check.
 RUN_MARGIN_S = 90.0
-# A second control VM is not harmed for this long after one has lost its disk: the
-# lost one has to be replaced first.
-REPAIR_S = 8.0
-PROMISED_NOT_RUN = (408, 421, 429, 503)
-DENIALS = (401, 403, 404)
+# Control VMs get no fault for this long after one has lost its disk: that replica
+# must be replaced first.
+VOTER_REPAIR_S = 8.0
+# These statuses promise that the request did not run.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+DENIED_STATUSES = (401, 403, 404)
 
 
 class Soak:
-    """One run.
+    """One run against a fleet of its own.
 
     Args:
-      seed: of the load and of the faults.
-      fault_s: how long faults begin.
-      number: tells fleets on one machine apart.
+      seed: seed of the load and of the faults.
+      fault_s: length of the period in which faults begin.
+      number: number of the fleet, unique on the machine.
+
+    Attributes:
+      skipped: number of faults that were not injected since their process was down,
+        in another fault or under repair.
+      findings: violations found, one text each.
     """
 
-    def __init__(self, seed: int, fault_s: float, number: int = FIRST_NUMBER) -> None:
+    def __init__(
+        self, seed: int, fault_s: float, number: int = FIRST_FLEET_NUMBER
+    ) -> None:
         self._seed = seed
         self._fault_s = fault_s
         self._timer = SystemTimer()
         self._random = random.Random(seed)
-        self._runs: collections.Counter[str] = collections.Counter()
+        self._run_counts: collections.Counter[str] = collections.Counter()
         self._targets: list[SoakTarget] = []
         self._all_targets: list[SoakTarget] = []
-        self._list = PlatformList(self._timer, self._targets)
+        self._target_list = PlatformTargetList(self._timer, self._targets)
         self._folder = RUN_FOLDER / f"seed-{seed}-{number}"
         self._number = number
         self._tasks: set[asyncio.Task[None]] = set()
-        self._spared_until_s = 0.0
+        self._repair_until_s = 0.0
         self.skipped = 0
         self.findings: list[str] = []
 
     async def run(self) -> dict[str, Any]:
-        """Run it; return its figures and findings."""
-        await self._list.start()
+        """Run the soak; return its figures and findings.
+
+        Raises:
+          TimeoutError: the fleet acknowledges no configuration change at the start.
+        """
+        await self._target_list.start()
         for service in ("app", "llm"):
             for data_centre in DATA_CENTRES:
                 await self._add_target(service, data_centre)
         fleet = self._fleet = SoakFleet(
-            self._folder, self._number, self._list.proxy.address
+            self._folder, self._number, self._target_list.proxy.address
         )
         operator = Operator(self._timer, fleet, self._seed)
         try:
             await fleet.start()
             callers = Callers(self._timer, fleet, self._seed)
-            operating = asyncio.ensure_future(operator.run())
-            await self._wait_for_service(operator)
-            calling = asyncio.ensure_future(callers.run())
+            operator_task = asyncio.ensure_future(operator.run())
+            await self._wait_until_serving(operator)
+            call_task = asyncio.ensure_future(callers.run())
             faults = make_faults(self._seed, self._fault_s)
             await self._inject(faults)
-            operating.cancel()
-            quiet_s = self._timer.now_s()
-            await self._timer.sleep(QUIET_S)
+            operator_task.cancel()
+            faults_ended_s = self._timer.now_s()
+            await self._timer.sleep(FAULT_FREE_S)
             await self._check_configuration(operator)
-            calling.cancel()
-            await asyncio.gather(calling, operating, return_exceptions=True)
+            call_task.cancel()
+            await asyncio.gather(call_task, operator_task, return_exceptions=True)
         finally:
             await fleet.stop()
             for target in self._all_targets:
                 await target.stop()
-            await self._list.stop()
-        self._check_records(callers.records, quiet_s)
+            await self._target_list.stop()
+        self._check_records(callers.records, faults_ended_s)
         return self._report(callers.records, faults)
 
     async def _add_target(self, service: str, data_centre: str) -> None:
-        target = SoakTarget(self._timer, service, data_centre, self._runs, self._random)
+        target = SoakTarget(
+            self._timer, service, data_centre, self._run_counts, self._random
+        )
         await target.start()
         self._targets.append(target)
         self._all_targets.append(target)
 
-    async def _wait_for_service(self, operator: Operator) -> None:
-        limit_s = self._timer.now_s() + START_LIMIT_S
+    async def _wait_until_serving(self, operator: Operator) -> None:
+        timeout_at_s = self._timer.now_s() + START_TIMEOUT_S
         while not operator.acknowledged:
-            if self._timer.now_s() > limit_s:
-                raise TimeoutError("the programs did not come up")
+            if self._timer.now_s() > timeout_at_s:
+                raise TimeoutError("no configuration change acknowledged at the start")
             await self._timer.sleep(0.2)
         await self._timer.sleep(1.0)
 
     # Faults.
 
     async def _inject(self, faults: list[Fault]) -> None:
-        began_s = self._timer.now_s()
+        started_s = self._timer.now_s()
         for fault in faults:
-            await self._timer.sleep(began_s + fault.at_s - self._timer.now_s())
+            await self._timer.sleep(started_s + fault.at_s - self._timer.now_s())
             task = asyncio.ensure_future(getattr(self, f"_{fault.action}")(fault))
             self._tasks.add(task)
         await asyncio.gather(*self._tasks)
 
-    def _process(self, fault: Fault) -> SoakProcess | None:
-        """Return the process of a fault, unless it is down or to be spared."""
+    def _available_process(self, fault: Fault) -> SoakProcess | None:
+        """Return the process of a fault; None, counted as skipped, if unavailable."""
         process = self._fleet.processes[fault.subject]
-        spared = process.role == "control" and (
-            self._timer.now_s() < self._spared_until_s
+        is_under_repair = process.role == "control" and (
+            self._timer.now_s() < self._repair_until_s
         )
-        if process.process is None or process.paused or spared:
+        if process.process is None or process.has_active_fault or is_under_repair:
             self.skipped += 1
             return None
         return process
 
     async def _kill(self, fault: Fault) -> None:
-        process = self._process(fault)
+        process = self._available_process(fault)
         if process is not None:
             process.kill()
             await self._timer.sleep(fault.for_s)
             self._fleet.launch(process)
 
     async def _pause(self, fault: Fault) -> None:
-        process = self._process(fault)
+        process = self._available_process(fault)
         if process is not None:
-            process.paused = True
+            process.has_active_fault = True
             process.signal(signal.SIGSTOP)
             await self._timer.sleep(fault.for_s)
             process.signal(signal.SIGCONT)
-            process.paused = False
+            process.has_active_fault = False
 
     async def _stop(self, fault: Fault) -> None:
-        process = self._process(fault)
+        process = self._available_process(fault)
         if process is None or process.process is None:
             return
         running = process.process
         process.signal(signal.SIGTERM)
-        # Others leave it alone meanwhile.
-        process.paused = True
-        limit_s = self._timer.now_s() + GRACE_S
-        while running.poll() is None and self._timer.now_s() < limit_s:
+        # Keeps other faults off the process while it stops.
+        process.has_active_fault = True
+        timeout_at_s = self._timer.now_s() + GRACE_S
+        while running.poll() is None and self._timer.now_s() < timeout_at_s:
             await self._timer.sleep(0.05)
         process.kill()
         await self._timer.sleep(fault.for_s)
         self._fleet.launch(process)
 
-    async def _wipe(self, fault: Fault) -> None:
-        process = self._process(fault)
-        controls = self._fleet.of_role("control")
-        if process is None or any(c.process is None or c.paused for c in controls):
+    async def _wipe_disk(self, fault: Fault) -> None:
+        process = self._available_process(fault)
+        controls = self._fleet.with_role("control")
+        if process is None or any(
+            c.process is None or c.has_active_fault for c in controls
+        ):
             self.skipped += 1
             return
-        self._spared_until_s = self._timer.now_s() + fault.for_s + REPAIR_S
+        self._repair_until_s = self._timer.now_s() + fault.for_s + VOTER_REPAIR_S
         process.kill()
-        process.wipe()
+        process.wipe_disk()
         await self._timer.sleep(fault.for_s)
         self._fleet.launch(process)
 
     async def _fail_disk(self, fault: Fault) -> None:
-        process = self._process(fault)
+        process = self._available_process(fault)
         if process is not None:
-            process.limit_files(0)
-            process.paused = True
+            process.limit_file_size(0)
+            process.has_active_fault = True
             await self._timer.sleep(fault.for_s)
             process.kill()
             self._fleet.launch(process)
 
     async def _kill_all_controls(self, fault: Fault) -> None:
-        if self._timer.now_s() < self._spared_until_s:
+        if self._timer.now_s() < self._repair_until_s:
             self.skipped += 1
             return
-        down = [c for c in self._fleet.of_role("control") if not c.paused]
+        down = [c for c in self._fleet.with_role("control") if not c.has_active_fault]
         for process in down:
             process.kill()
         await self._timer.sleep(fault.for_s)
@@ -208,41 +225,43 @@
             if process.process is None:
                 self._fleet.launch(process)
 
-    async def _harm(self, proxy: FaultProxy, fault: Fault) -> None:
+    async def _impair(self, proxy: FaultProxy, fault: Fault) -> None:
         proxy.set(LinkState(fault.link))
         await self._timer.sleep(fault.for_s)
         proxy.set(LinkState.OPEN)
 
-    async def _harm_front(self, fault: Fault) -> None:
-        await self._harm(self._fleet.fronts[fault.subject], fault)
+    async def _impair_entry_link(self, fault: Fault) -> None:
+        await self._impair(self._fleet.entry_proxies[fault.subject], fault)
 
-    async def _harm_operators(self, fault: Fault) -> None:
-        await self._harm(self._fleet.operators[fault.subject], fault)
+    async def _impair_control_link(self, fault: Fault) -> None:
+        await self._impair(self._fleet.control_proxies[fault.subject], fault)
 
-    async def _harm_list(self, fault: Fault) -> None:
-        await self._harm(self._list.proxy, fault)
+    async def _impair_list_link(self, fault: Fault) -> None:
+        await self._impair(self._target_list.proxy, fault)
 
     def _target(self, fault: Fault) -> SoakTarget:
         return self._targets[int(fault.subject) % len(self._targets)]
 
-    async def _harm_target(self, fault: Fault) -> None:
-        await self._harm(self._target(fault).proxy, fault)
+    async def _impair_target_link(self, fault: Fault) -> None:
+        await self._impair(self._target(fault).proxy, fault)
 
     async def _crash_target(self, fault: Fault) -> None:
         target = self._target(fault)
         await target.stop()
-        await self._replace(target, fault.for_s)
+        await self._replace_target(target, fault.for_s)
 
     async def _drain_target(self, fault: Fault) -> None:
         target = self._target(fault)
         target.is_draining = True
         await self._timer.sleep(fault.for_s)
         await target.stop()
-        await self._replace(target, 0.0)
+        await self._replace_target(target, 0.0)
 
-    async def _replace(self, target: SoakTarget, listed_s: float) -> None:
-        """Take a target off the list after a time, and add another one."""
-        await self._timer.sleep(listed_s)
+    async def _replace_target(
+        self, target: SoakTarget, delisting_delay_s: float
+    ) -> None:
+        """Remove a stopped target from the list after a delay, and add a new one."""
+        await self._timer.sleep(delisting_delay_s)
         if target in self._targets:
             self._targets.remove(target)
             await self._add_target(target.service, target.data_centre)
@@ -250,45 +269,49 @@
     # Checks.
 
     async def _check_configuration(self, operator: Operator) -> None:
-        """Check that what was acknowledged is there, as it was sent."""
-        limit_s = self._timer.now_s() + READ_LIMIT_S
+        """Check that the last acknowledged configuration or a later one is in force.
+
+        It must equal the document that was sent with its version.
+        """
+        timeout_at_s = self._timer.now_s() + READ_TIMEOUT_S
         document = await operator.read()
-        while document is None and self._timer.now_s() < limit_s:
+        while document is None and self._timer.now_s() < timeout_at_s:
             await self._timer.sleep(0.2)
             document = await operator.read()
         if document is None:
-            self.findings.append("no control VM reads the configuration back")
+            self.findings.append("no control VM returned the configuration in time")
             return
         version = document["version"]
         if version < operator.acknowledged:
             self.findings.append(
-                f"version {version} is read back, {operator.acknowledged} was "
+                f"version {version} was read, but {operator.acknowledged} was "
                 "acknowledged"
             )
         if document != operator.sent.get(version):
-            self.findings.append(f"version {version} is not as it was sent")
+            self.findings.append(f"version {version} differs from the document sent")
 
-    def _check_records(self, records: list[CallRecord], quiet_s: float) -> None:
+    def _check_records(self, records: list[CallRecord], faults_ended_s: float) -> None:
         for record in records:
-            self._check_record(record, self._runs[record.attempt_id])
-        settled_s = quiet_s + SETTLE_S
-        late = [r for r in records if r.sent_s > settled_s and r.ended_s]
-        served = sum(record.status == 200 for record in late)
-        if served < SERVED_SHARE * len(late) or not late:
+            self._check_record(record, self._run_counts[record.attempt_id])
+        recovered_s = faults_ended_s + RECOVERY_LIMIT_S
+        after_recovery = [r for r in records if r.sent_s > recovered_s and r.ended_s]
+        served = sum(record.status == 200 for record in after_recovery)
+        if served < MIN_SERVED_FRACTION * len(after_recovery) or not after_recovery:
             self.findings.append(
-                f"{served} of {len(late)} requests served after the last fault"
+                f"only {served} of {len(after_recovery)} requests served "
+                "after the last fault"
             )
 
     def _check_record(self, record: CallRecord, runs: int) -> None:
         name = f"{record.kind} {record.attempt_id}"
         if record.kind != "safe" and runs > 1:
             self.findings.append(f"{name} ran {runs} times")
-        if record.status in PROMISED_NOT_RUN and record.kind != "safe" and runs:
-            self.findings.append(f"{name} was answered {record.status} and ran")
-        if record.status == 200 and not record.is_right:
-            self.findings.append(f"{name} got an answer that is not its own")
-        if record.status in DENIALS:
-            self.findings.append(f"{name} was denied with {record.status}")
+        if record.status in NOT_EXECUTED_STATUSES and record.kind != "safe" and runs:
+            self.findings.append(f"{name} got status {record.status} although it ran")
+        if record.status == 200 and not record.is_correct:
+            self.findings.append(f"{name} got a wrong or unsealed response")
+        if record.status in DENIED_STATUSES:
+            self.findings.append(f"{name} was denied with status {record.status}")
 
     def _report(self, records: list[CallRecord], faults: list[Fault]) -> dict[str, Any]:
         statuses = collections.Counter(str(record.status) for record in records)
@@ -305,16 +328,16 @@
 def run_seed(seed: int, fault_s: float, number: int) -> dict[str, Any]:
     """Run one seed in this process; return its report.
 
-    A run that does not come to its end is a finding too.
+    A run that fails or exceeds its time limit is reported as a finding.
     """
     soak = Soak(seed, fault_s, number)
 
-    async def limited() -> dict[str, Any]:
+    async def run_with_timeout() -> dict[str, Any]:
         async with asyncio.timeout(fault_s + RUN_MARGIN_S):
             return await soak.run()
 
     try:
-        return asyncio.run(limited())
+        return asyncio.run(run_with_timeout())
     except Exception as error:
         traceback.print_exc()
         return {"seed": seed, "findings": [*soak.findings, repr(error)]}
@@ -325,28 +348,33 @@
 
 @app.default
 def main(
-    *, seed: int = 1, seeds: int = 1, fault_s: float = FAULT_S, jobs: int = 1
+    *, seed: int = 1, seeds: int = 1, fault_s: float = FAULT_PERIOD_S, jobs: int = 1
 ) -> int:
     """Run seeds and print a report of each as a line of JSON.
 
     Args:
       seed: the first seed.
-      seeds: how many seeds, one after the other from the first.
-      fault_s: how long faults begin.
-      jobs: how many fleets run at a time.
+      seeds: number of consecutive seeds.
+      fault_s: length of the period in which faults begin, for each seed.
+      jobs: number of fleets that run at a time.
     """
-    found = 0
+    failed_seeds = 0
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        jobs_of = [
-            pool.submit(run_seed, one, fault_s, FIRST_NUMBER + one % SEED_NUMBERS)
-            for one in range(seed, seed + seeds)
+        run_futures = [
+            pool.submit(
+                run_seed,
+                current_seed,
+                fault_s,
+                FIRST_FLEET_NUMBER + current_seed % FLEET_NUMBERS,
+            )
+            for current_seed in range(seed, seed + seeds)
         ]
-        for job in jobs_of:
-            report = job.result()
-            found += bool(report["findings"])
+        for future in run_futures:
+            report = future.result()
+            failed_seeds += bool(report["findings"])
             print(json.dumps(report), flush=True)
-    print(f"{seeds} seeds, {found} with findings", file=sys.stderr)
-    return 1 if found else 0
+    print(f"{seeds} seeds, {failed_seeds} with findings", file=sys.stderr)
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/bench/platform_soak_callers.py
+++ b/bench/platform_soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers and operators of the soak, with what they saw."""
+"""Callers and operator of the platform soak; they record the responses they get."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 __all__ = ["CallRecord", "Callers", "Operator"]
 
-KINDS = ("unsafe", "safe", "streaming")
+ROUTE_KINDS = ("unsafe", "safe", "streaming")
 CALLERS = 12
-PAUSE_S = 0.08
+CALL_PAUSE_S = 0.08
 CALL_TIMEOUT_S = 6.0
 CONNECT_TIMEOUT_S = 1.0
-READY_PERIOD_S = 0.5
+READINESS_PERIOD_S = 0.5
 CHANGE_PERIOD_S = 1.2
-CHANGE_TRIES = 10
+MAX_CHANGE_ATTEMPTS = 10
 OPERATOR_TIMEOUT_S = 1.0
 
 
@@ -35,13 +35,13 @@
     """One attempt of a caller.
 
     Attributes:
-      attempt_id: its name.
+      attempt_id: its id, unique in the run.
       kind: the kind of its route.
-      entry: where it was sent.
-      sent_s: when.
-      ended_s: when its answer was whole, or missing for good.
-      status: of the answer; 0 without a whole one.
-      is_right: whether the answer is the target's own, byte for byte.
+      entry: name of the entry that it was sent to.
+      sent_s: when it was sent.
+      ended_s: when its response was complete or had failed; 0 before.
+      status: status of the response; 0 without a complete one.
+      is_correct: whether the response is sealed and its body the expected one.
     """
 
     attempt_id: str
@@ -50,72 +50,74 @@
     sent_s: float
     ended_s: float = 0.0
     status: int = 0
-    is_right: bool = False
+    is_correct: bool = False
 
 
 class Callers:
-    """Callers that keep their connections, each with one request at a time.
+    """Closed-loop callers on persistent connections, one request each at a time.
 
     Args:
       timer: the timer service.
-      fleet: the entries.
-      seed: of the callers' draws.
+      fleet: the fleet whose entries are called.
+      seed: seed of the choice of entries, routes and attempt ids.
 
     Attributes:
-      records: what they saw.
+      records: all attempts, in order of sending.
     """
 
     def __init__(self, timer: TimerService, fleet: SoakFleet, seed: int) -> None:
         self._timer = timer
         self._fleet = fleet
         self._random = random.Random(seed)
-        self._ready = set(fleet.fronts)
+        self._ready_entries = set(fleet.entry_proxies)
         self.records: list[CallRecord] = []
 
     async def run(self) -> None:
         """Call until cancelled."""
         await asyncio.gather(
-            self._watch_readiness(), *(self._call_on() for _ in range(CALLERS))
+            self._watch_readiness(), *(self._call_repeatedly() for _ in range(CALLERS))
         )
 
     async def _watch_readiness(self) -> None:
-        """Send new connections only to entries that say that they are ready."""
+        """Track which entries report ready; new connections go only to those."""
         pool = ConnectionPool(self._timer, CONNECT_TIMEOUT_S, 0.0)
         while True:
-            for process in self._fleet.of_role("entry"):
+            for process in self._fleet.with_role("entry"):
                 request = _encode("GET", "/readiness", [], b"")
                 exchange = pool.exchange(f"{process.ip}:{READY_PORT}", request)
                 try:
-                    head, _ = await self._timer.wait_for(exchange, READY_PERIOD_S)
+                    head, _ = await self._timer.wait_for(exchange, READINESS_PERIOD_S)
                     is_ready = head.status == 200
                 except (UpstreamError, errors.DeadlineExceededError):
                     is_ready = False
-                (self._ready.add if is_ready else self._ready.discard)(process.name)
-            await self._timer.sleep(READY_PERIOD_S)
+                (self._ready_entries.add if is_ready else self._ready_entries.discard)(
+                    process.name
+                )
+            await self._timer.sleep(READINESS_PERIOD_S)
 
-    async def _call_on(self) -> None:
+    async def _call_repeatedly(self) -> None:
         pool = ConnectionPool(self._timer, CONNECT_TIMEOUT_S, 10.0)
-        entry = self._random.choice(sorted(self._fleet.fronts))
+        entry = self._random.choice(sorted(self._fleet.entry_proxies))
         while True:
-            if entry not in self._ready and self._ready:
-                entry = self._random.choice(sorted(self._ready))
+            if entry not in self._ready_entries and self._ready_entries:
+                entry = self._random.choice(sorted(self._ready_entries))
             record = CallRecord(
                 uuid.UUID(int=self._random.getrandbits(128)).hex,
-                self._random.choice(KINDS),
+                self._random.choice(ROUTE_KINDS),
                 entry,
                 self._timer.now_s(),
             )
             self.records.append(record)
-            proxy = self._fleet.fronts[entry]
+            proxy = self._fleet.entry_proxies[entry]
             try:
                 await self._timer.wait_for(
                     self._call(pool, proxy, record), CALL_TIMEOUT_S
                 )
             except (UpstreamError, errors.DeadlineExceededError):
-                # No whole answer; the record says so with its status 0.
+                # No complete response: the record keeps status 0.
                 pool.forget(proxy.address)
             record.ended_s = self._timer.now_s()
-            await self._timer.sleep(PAUSE_S)
+            await self._timer.sleep(CALL_PAUSE_S)
 
     async def _call(
         self, pool: ConnectionPool, proxy: FaultProxy, record: CallRecord
@@ -132,24 +134,24 @@
         method = "GET" if record.kind == "safe" else "POST"
         body = b"" if method == "GET" else b"order"
         request = _encode(method, f"/{record.kind}/x", headers, body)
-        head, answer = await pool.exchange(proxy.address, request)
+        head, response_body = await pool.exchange(proxy.address, request)
         record.status = head.status
         expected = expected_body(record.attempt_id, is_stream=is_stream)
         is_sealed = bool(head.header(b"x-endivesill-response-seal"))
-        record.is_right = is_sealed and answer == expected
+        record.is_correct = is_sealed and response_body == expected
 
 
 class Operator:
-    """An operator who changes the configuration and sends again what got no answer.
+    """An operator that replaces the configuration and retries until acknowledged.
 
     Args:
       timer: the timer service.
-      fleet: the control VMs.
-      seed: of the operator's draws.
+      fleet: the fleet whose control VMs are called.
+      seed: seed of the choice of control VMs and versions.
 
     Attributes:
-      sent: the documents, by version.
-      acknowledged: the highest version that was acknowledged.
+      sent: the documents sent, by version.
+      acknowledged: the highest version that was acknowledged; 0 for none.
     """
 
     def __init__(self, timer: TimerService, fleet: SoakFleet, seed: int) -> None:
@@ -173,22 +175,22 @@
     async def _send(self, version: int) -> bool:
         body = json.dumps(self.sent[version]).encode()
         request = _encode("POST", "/Configuration.Replace", [], body)
-        for _ in range(CHANGE_TRIES):
-            answer = await self._ask(request)
-            if answer is not None and answer[0] == 200:
+        for _ in range(MAX_CHANGE_ATTEMPTS):
+            response = await self._exchange(request)
+            if response is not None and response[0] == 200:
                 return True
             await self._timer.sleep(0.2)
         return False
 
     async def read(self) -> dict[str, Any] | None:
-        """Return the configuration that a control VM is sure of, or None."""
-        answer = await self._ask(_encode("GET", "/Configuration.Get", [], b""))
-        if answer is None or answer[0] != 200:
+        """Return the committed configuration from one control VM; None on failure."""
+        response = await self._exchange(_encode("GET", "/Configuration.Get", [], b""))
+        if response is None or response[0] != 200:
             return None
-        return json.loads(answer[1])
+        return json.loads(response[1])
 
-    async def _ask(self, request: bytes) -> tuple[int, bytes] | None:
-        proxy = self._random.choice(list(self._fleet.operators.values()))
+    async def _exchange(self, request: bytes) -> tuple[int, bytes] | None:
+        proxy = self._random.choice(list(self._fleet.control_proxies.values()))
         exchange = self._pool.exchange(proxy.address, request)
         try:
             head, body = await self._timer.wait_for(exchange, OPERATOR_TIMEOUT_S)
--- a/bench/platform_soak_faults.py
+++ b/bench/platform_soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the platform's soak: a seed gives the same ones at the same times."""
+"""Fault schedule of the platform soak, determined by a seed."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 __all__ = ["Fault", "make_faults"]
 
-# Faults follow each other faster than they end, so that they overlap.
-SHORTEST_PAUSE_S = 0.3
-LONGEST_PAUSE_S = 1.6
-LINKS = tuple(state for state in LinkState if state is not LinkState.OPEN)
+# Intervals between faults; shorter than most faults last, so that they overlap.
+MIN_INTERVAL_S = 0.3
+MAX_INTERVAL_S = 1.6
+IMPAIRED_STATES = tuple(state for state in LinkState if state is not LinkState.OPEN)
 
 
 @attrs.frozen(order=True)
@@ -23,11 +23,11 @@
     """One fault.
 
     Attributes:
-      at_s: when it begins, from the start of the faults.
-      action: what happens; a method of the soak has its name.
-      subject: what it happens to.
+      at_s: when it begins, from the start of the fault period.
+      action: name of the method of `Soak` that injects it, without the underscore.
+      subject: the VM or proxy by name, or the position of the target.
       for_s: how long it lasts.
-      link: what becomes of a link, for faults of links.
+      link: value of the `LinkState` during the fault; empty for other faults.
     """
 
     at_s: float
@@ -37,99 +37,99 @@
     link: str = ""
 
 
-Maker = Callable[[random.Random], tuple[str, str, float, str]]
-_MAKERS: list[Maker] = []
+FaultFactory = Callable[[random.Random], tuple[str, str, float, str]]
+_FACTORIES: list[FaultFactory] = []
 
 
-def _maker(function: Maker) -> Maker:
-    _MAKERS.append(function)
+def _register(function: FaultFactory) -> FaultFactory:
+    _FACTORIES.append(function)
     return function
 
 
-def _vm(source: random.Random) -> str:
-    role = source.choice(("control", "entry"))
-    return f"{role}-{source.choice(DATA_CENTRES)}"
+def _draw_vm(rng: random.Random) -> str:
+    role = rng.choice(("control", "entry"))
+    return f"{role}-{rng.choice(DATA_CENTRES)}"
 
 
-@_maker
-def _kill(source: random.Random) -> tuple[str, str, float, str]:
-    return "kill", _vm(source), source.uniform(0.2, 2.0), ""
+@_register
+def _kill(rng: random.Random) -> tuple[str, str, float, str]:
+    return "kill", _draw_vm(rng), rng.uniform(0.2, 2.0), ""
 
 
-@_maker
-def _pause(source: random.Random) -> tuple[str, str, float, str]:
-    return "pause", _vm(source), source.uniform(0.3, 3.0), ""
+@_register
+def _pause(rng: random.Random) -> tuple[str, str, float, str]:
+    return "pause", _draw_vm(rng), rng.uniform(0.3, 3.0), ""
 
 
-@_maker
-def _stop(source: random.Random) -> tuple[str, str, float, str]:
-    return "stop", _vm(source), source.uniform(0.1, 1.0), ""
+@_register
+def _stop(rng: random.Random) -> tuple[str, str, float, str]:
+    return "stop", _draw_vm(rng), rng.uniform(0.1, 1.0), ""
 
 
-@_maker
-def _wipe(source: random.Random) -> tuple[str, str, float, str]:
-    return "wipe", f"control-{source.choice(DATA_CENTRES)}", 1.0, ""
+@_register
+def _wipe_disk(rng: random.Random) -> tuple[str, str, float, str]:
+    return "wipe_disk", f"control-{rng.choice(DATA_CENTRES)}", 1.0, ""
 
 
-@_maker
-def _fail_disk(source: random.Random) -> tuple[str, str, float, str]:
-    return "fail_disk", f"control-{source.choice(DATA_CENTRES)}", 1.5, ""
+@_register
+def _fail_disk(rng: random.Random) -> tuple[str, str, float, str]:
+    return "fail_disk", f"control-{rng.choice(DATA_CENTRES)}", 1.5, ""
 
 
-@_maker
-def _kill_all_controls(source: random.Random) -> tuple[str, str, float, str]:
-    return "kill_all_controls", "control", source.uniform(0.2, 1.0), ""
+@_register
+def _kill_all_controls(rng: random.Random) -> tuple[str, str, float, str]:
+    return "kill_all_controls", "control", rng.uniform(0.2, 1.0), ""
 
 
-@_maker
-def _harm_front(source: random.Random) -> tuple[str, str, float, str]:
-    link = source.choice(LINKS).value
-    subject = f"entry-{source.choice(DATA_CENTRES)}"
-    return "harm_front", subject, source.uniform(0.3, 2.0), link
+@_register
+def _impair_entry_link(rng: random.Random) -> tuple[str, str, float, str]:
+    link = rng.choice(IMPAIRED_STATES).value
+    subject = f"entry-{rng.choice(DATA_CENTRES)}"
+    return "impair_entry_link", subject, rng.uniform(0.3, 2.0), link
 
 
-@_maker
-def _harm_operators(source: random.Random) -> tuple[str, str, float, str]:
-    link = source.choice(LINKS).value
-    subject = f"control-{source.choice(DATA_CENTRES)}"
-    return "harm_operators", subject, source.uniform(0.5, 3.0), link
+@_register
+def _impair_control_link(rng: random.Random) -> tuple[str, str, float, str]:
+    link = rng.choice(IMPAIRED_STATES).value
+    subject = f"control-{rng.choice(DATA_CENTRES)}"
+    return "impair_control_link", subject, rng.uniform(0.5, 3.0), link
 
 
-@_maker
-def _harm_target(source: random.Random) -> tuple[str, str, float, str]:
-    link = source.choice(LINKS).value
-    return "harm_target", str(source.randrange(100)), source.uniform(0.3, 2.0), link
+@_register
+def _impair_target_link(rng: random.Random) -> tuple[str, str, float, str]:
+    link = rng.choice(IMPAIRED_STATES).value
+    return "impair_target_link", str(rng.randrange(100)), rng.uniform(0.3, 2.0), link
 
 
-@_maker
-def _harm_list(source: random.Random) -> tuple[str, str, float, str]:
-    link = source.choice(LINKS).value
-    return "harm_list", "list", source.uniform(0.5, 3.0), link
+@_register
+def _impair_list_link(rng: random.Random) -> tuple[str, str, float, str]:
+    link = rng.choice(IMPAIRED_STATES).value
+    return "impair_list_link", "list", rng.uniform(0.5, 3.0), link
 
 
-@_maker
-def _crash_target(source: random.Random) -> tuple[str, str, float, str]:
-    return "crash_target", str(source.randrange(100)), source.uniform(0.5, 1.5), ""
+@_register
+def _crash_target(rng: random.Random) -> tuple[str, str, float, str]:
+    return "crash_target", str(rng.randrange(100)), rng.uniform(0.5, 1.5), ""
 
 
-@_maker
-def _drain_target(source: random.Random) -> tuple[str, str, float, str]:
-    return "drain_target", str(source.randrange(100)), 3.0, ""
+@_register
+def _drain_target(rng: random.Random) -> tuple[str, str, float, str]:
+    return "drain_target", str(rng.randrange(100)), 3.0, ""
 
 
 def make_faults(seed: int, duration_s: float) -> list[Fault]:
     """Return the faults of a seed in order of time.
 
-    Each kind comes once before any comes twice, in an order of the seed.
+    Every kind occurs once, in random order, before any occurs again.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     faults = []
-    waiting: list[Maker] = []
-    at_s = source.uniform(0.0, LONGEST_PAUSE_S)
+    remaining: list[FaultFactory] = []
+    at_s = rng.uniform(0.0, MAX_INTERVAL_S)
     while at_s < duration_s:
-        if not waiting:
-            waiting = list(_MAKERS)
-            source.shuffle(waiting)
-        faults.append(Fault(at_s, *waiting.pop()(source)))
-        at_s += source.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+        if not remaining:
+            remaining = list(_FACTORIES)
+            rng.shuffle(remaining)
+        faults.append(Fault(at_s, *remaining.pop()(rng)))
+        at_s += rng.uniform(MIN_INTERVAL_S, MAX_INTERVAL_S)
     return faults
--- a/bench/platform_soak_fleet.py
+++ b/bench/platform_soak_fleet.py
@@ -1,4 +1,4 @@
-"""The real programs of the platform as processes on loopback."""
+"""A fleet of real platform processes on loopback addresses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 __all__ = ["DATA_CENTRES", "SoakFleet", "SoakProcess"]
 
-ROOT = pathlib.Path(__file__).resolve().parent.parent
+REPOSITORY_FOLDER = pathlib.Path(__file__).resolve().parent.parent
 DATA_CENTRES = ("a", "b", "c")
 PEER_PORT = 7720
 CONTROL_PORT = 8748
@@ -59,10 +59,10 @@
       name: the VM's name.
       role: `entry` or `control`.
       ip: its loopback address.
-      data_centre: where it is.
-      folder: its settings, log and disk.
-      process: the process, while it runs.
-      paused: whether it is stopped by a signal.
+      data_centre: name of its data centre.
+      folder: folder of its settings, log and disk.
+      process: the process; None after `kill`.
+      has_active_fault: whether a fault is in effect on it that excludes others.
     """
 
     name: str
@@ -71,32 +71,35 @@
     data_centre: str
     folder: pathlib.Path
     process: subprocess.Popen[bytes] | None = None
-    paused: bool = False
+    has_active_fault: bool = False
 
     @property
     def disk(self) -> pathlib.Path:
-        """The folder of its disk."""
+        """Its data directory."""
         return self.folder / "disk"
 
     def signal(self, number: int) -> None:
-        """Send the process a signal, if it runs."""
+        """Send the process a signal, if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process, also while suspended, and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
         self.process = None
-        self.paused = False
+        self.has_active_fault = False
 
-    def wipe(self) -> None:
-        """Lose the disk; the process must not run."""
+    def wipe_disk(self) -> None:
+        """Delete the data directory; the process must not be running."""
         shutil.rmtree(self.disk, ignore_errors=True)
 
-    def limit_files(self, size_bytes: int) -> None:
-        """Let no file grow over a size; a negative size lifts the limit."""
+    def limit_file_size(self, size_bytes: int) -> None:
+        """Set the process's file size limit; a negative size lifts it.
+
+        Writes beyond the limit fail, as on a disk that is full.
+        """
         if self.process is None:
             return
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
@@ -108,61 +111,63 @@
     """Three control VMs and three entries, one of each in a data centre.
 
     Args:
-      folder: where settings, logs and disks go.
-      number: tells fleets on one machine apart, 256 to 65,535; their loopback
-        addresses come from it.
-      list_address: HOST:PORT of the platform's list.
+      folder: folder for settings, logs and data directories; deleted first.
+      number: number of the fleet, unique on the machine, 256 to 65,535; determines
+        its loopback addresses.
+      list_address: HOST:PORT of the platform's target list.
 
     Attributes:
-      processes: by the VM's name.
-      fronts: the ways of callers to the entries, by name.
-      operators: the ways of operators to the control VMs, by name.
+      processes: the processes by VM name.
+      entry_proxies: the proxies between callers and entries, by VM name.
+      control_proxies: the proxies between operators and control VMs, by VM name.
     """
 
     def __init__(self, folder: pathlib.Path, number: int, list_address: str) -> None:
         self._list_address = list_address
-        self._first_start = True
+        self._is_first_start = True
         self.processes: dict[str, SoakProcess] = {}
-        self.fronts: dict[str, FaultProxy] = {}
-        self.operators: dict[str, FaultProxy] = {}
+        self.entry_proxies: dict[str, FaultProxy] = {}
+        self.control_proxies: dict[str, FaultProxy] = {}
         shutil.rmtree(folder, ignore_errors=True)
         for position, data_centre in enumerate(DATA_CENTRES, 1):
-            for role, part in (("control", 10), ("entry", 20)):
+            for role, host_base in (("control", 10), ("entry", 20)):
                 name = f"{role}-{data_centre}"
-                own = folder / name
-                own.mkdir(parents=True)
-                ip = f"127.{number // 256}.{number % 256}.{part + position}"
-                self.processes[name] = SoakProcess(name, role, ip, data_centre, own)
-
-    def of_role(self, role: str) -> list[SoakProcess]:
-        """Return the processes of a role."""
+                process_folder = folder / name
+                process_folder.mkdir(parents=True)
+                ip = f"127.{number // 256}.{number % 256}.{host_base + position}"
+                self.processes[name] = SoakProcess(
+                    name, role, ip, data_centre, process_folder
+                )
+
+    def with_role(self, role: str) -> list[SoakProcess]:
+        """Return the processes with a role."""
         return [p for p in self.processes.values() if p.role == role]
 
     async def start(self) -> None:
-        """Start all processes and the proxies before them."""
+        """Start all processes and proxies; only this start bootstraps the cluster."""
         for process in self.processes.values():
             self.launch(process)
-        self._first_start = False
-        for process in self.of_role("entry"):
+        self._is_first_start = False
+        for process in self.with_role("entry"):
             proxy = FaultProxy(f"{process.ip}:{FRONT_PORT}")
             await proxy.start()
-            self.fronts[process.name] = proxy
-        for process in self.of_role("control"):
+            self.entry_proxies[process.name] = proxy
+        for process in self.with_role("control"):
             proxy = FaultProxy(f"{process.ip}:{CONTROL_PORT}")
             await proxy.start()
-            self.operators[process.name] = proxy
+            self.control_proxies[process.name] = proxy
 
     async def stop(self) -> None:
-        """End all processes and proxies."""
-        for proxy in [*self.fronts.values(), *self.operators.values()]:
+        """Stop all proxies and kill all processes."""
+        for proxy in [*self.entry_proxies.values(), *self.control_proxies.values()]:
             await proxy.stop()
         for process in self.processes.values():
             process.kill()
 
     def launch(self, process: SoakProcess) -> None:
-        """Start a process, unless it runs; its disk is as it was left.
+        """Start a process on its existing data, unless it is running.
 
-        Faults overlap: two of them may end with the start of the same process.
+        Overlapping faults may both end by starting the same process.
         """
         if process.process is not None and process.process.poll() is None:
             return
@@ -171,16 +176,16 @@
         with (process.folder / "output.log").open("ab") as output:
             process.process = subprocess.Popen(
                 [sys.executable, "-m", "endivesill.platform", process.role],
-                cwd=ROOT,
+                cwd=REPOSITORY_FOLDER,
                 env={**os.environ, "ENDIVESILL_NODE_FILE": str(settings)},
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=subprocess.STDOUT,
             )
-        process.paused = False
+        process.has_active_fault = False
 
     def _settings(self, process: SoakProcess) -> str:
-        controls = self.of_role("control")
+        controls = self.with_role("control")
         is_entry = process.role == "entry"
         listen = f'control = "{process.ip}:{CONTROL_PORT}"'
         if is_entry:
@@ -195,7 +200,7 @@
             data_centre=process.data_centre,
             peer_port=PEER_PORT,
             seeds=", ".join(f'"{c.ip}:{CONTROL_PORT}"' for c in controls),
-            bootstrap=str(self._first_start).lower(),
+            bootstrap=str(self._is_first_start).lower(),
             folder="" if is_entry else process.disk,
             listen=listen,
             grace_s=GRACE_S,
--- a/bench/platform_soak_targets.py
+++ b/bench/platform_soak_targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform around the real programs: targets, list, documents."""
+"""Stand-ins for the platform around the real processes: targets and target list."""
 
 from __future__ import annotations
 
@@ -12,94 +12,102 @@
 from endivesill.http1 import Exchange, HttpListener
 from endivesill.timer import TimerService
 
-__all__ = ["EVENTS", "PlatformList", "SoakTarget", "configuration", "expected_body"]
+__all__ = [
+    "EVENTS_PER_STREAM",
+    "PlatformTargetList",
+    "SoakTarget",
+    "configuration",
+    "expected_body",
+]
 
 SEAL = (b"X-Endivesill-Response-Seal", b"soak")
 ATTEMPT_ID = b"X-Endivesill-Request-Attempt-Id"
-# Events of each stream, and the time between two.
-EVENTS = 30
-EVENT_PAUSE_S = 0.03
-PLAIN_WORK_S = 0.01
-FAILURE_SHARE = 0.03
+EVENTS_PER_STREAM = 30
+EVENT_INTERVAL_S = 0.03
+PLAIN_SERVICE_TIME_S = 0.01
+# Plain requests that run and fail with status 500.
+FAILURE_FRACTION = 0.03
 LIST_RATE_PER_S = 40.0
 
 
 def expected_body(attempt_id: str, *, is_stream: bool) -> bytes:
-    """Return the whole body of the answer to a request."""
+    """Return the complete body of a successful response to an attempt."""
     if not is_stream:
         return f"answer to {attempt_id}".encode()
-    return b"".join(_event(attempt_id, number) for number in range(1, EVENTS + 1))
+    return b"".join(
+        _event(attempt_id, number) for number in range(1, EVENTS_PER_STREAM + 1)
+    )
 
 
 def _event(attempt_id: str, number: int) -> bytes:
     return f"id: {number}\ndata: {attempt_id} {number}\n\n".encode()
 
 
-class _Standin:
-    """A listener behind a proxy of its own.
+class _ProxiedListener:
+    """An HTTP listener that is reached through a fault proxy.
 
     Args:
       timer: the timer service.
 
     Attributes:
-      proxy: the way to it, once it listens.
+      proxy: the proxy; it has an address after `start`.
     """
 
     def __init__(self, timer: TimerService) -> None:
-        self._listener = HttpListener(timer, "127.0.0.1:0", self._answer)
+        self._listener = HttpListener(timer, "127.0.0.1:0", self._handle)
         self.proxy = FaultProxy("")
 
     async def start(self) -> None:
-        """Listen, behind the proxy."""
+        """Start the listener and its proxy."""
         await self._listener.start()
         self.proxy = FaultProxy(self._listener.address)
         await self.proxy.start()
 
     async def stop(self) -> None:
-        """End at once, with all connections."""
+        """Stop both, and reset all connections."""
         await self.proxy.stop()
         await self._listener.stop()
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         raise NotImplementedError
 
 
-class SoakTarget(_Standin):
+class SoakTarget(_ProxiedListener):
     """One target in this process.
 
     Args:
       timer: the timer service.
-      service: its service.
-      data_centre: where it is.
-      runs: counts the runs of each request, over all targets.
-      source: draws the requests that fail.
+      service: name of its service.
+      data_centre: name of its data centre.
+      run_counts: how often each attempt id ran, over all targets; updated here.
+      rng: draws the requests that fail.
 
     Attributes:
-      identity: its name.
-      is_draining: whether it is about to leave.
+      identity: its id, unique in this process.
+      is_draining: whether the list and the health check report it as draining.
     """
 
-    _count = 0
+    _created = 0
 
     def __init__(
         self,
         timer: TimerService,
         service: str,
         data_centre: str,
-        runs: collections.Counter[str],
-        source: random.Random,
+        run_counts: collections.Counter[str],
+        rng: random.Random,
     ) -> None:
         super().__init__(timer)
-        SoakTarget._count += 1
-        self.identity = f"{service}-{SoakTarget._count}"
+        SoakTarget._created += 1
+        self.identity = f"{service}-{SoakTarget._created}"
         self.service = service
         self.data_centre = data_centre
         self.is_draining = False
-        self._runs = runs
-        self._random = source
+        self._run_counts = run_counts
+        self._random = rng
 
-    def row(self) -> dict[str, Any]:
-        """Return its entry in the platform's list."""
+    def list_entry(self) -> dict[str, Any]:
+        """Return its entry in the platform's target list."""
         return {
             "id": self.identity,
             "service": self.service,
@@ -111,7 +119,7 @@
             "cold_remaining_ms": 0,
         }
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         path = exchange.target
         if path == b"/health":
             exchange.respond(503 if self.is_draining else 200, [])
@@ -126,54 +134,58 @@
     async def _run(self, exchange: Exchange) -> None:
         attempt = exchange.header(ATTEMPT_ID.lower()).decode()
         expected = exchange.header(b"x-endivesill-expected-instance").decode()
-        name = (ATTEMPT_ID, attempt.encode())
+        attempt_header = (ATTEMPT_ID, attempt.encode())
         if expected != self.identity:
-            exchange.respond(421, [name])
+            exchange.respond(421, [attempt_header])
             return
         if exchange.header(b"kv-from"):
-            exchange.respond(503, [name, (b"X-Endivesill-Not-Executed", b"1")])
+            exchange.respond(
+                503, [attempt_header, (b"X-Endivesill-Not-Executed", b"1")]
+            )
             return
-        self._runs[attempt] += 1
+        self._run_counts[attempt] += 1
         if exchange.header(b"x-endivesill-token-counts"):
-            await self._stream(exchange, attempt, name)
+            await self._stream(exchange, attempt, attempt_header)
             return
-        await asyncio.sleep(PLAIN_WORK_S)
-        failed = self._random.random() < FAILURE_SHARE
+        await asyncio.sleep(PLAIN_SERVICE_TIME_S)
+        failed = self._random.random() < FAILURE_FRACTION
         body = b"" if failed else expected_body(attempt, is_stream=False)
-        exchange.respond(500 if failed else 200, [name, SEAL], body)
+        exchange.respond(500 if failed else 200, [attempt_header, SEAL], body)
 
     async def _stream(
-        self, exchange: Exchange, attempt: str, name: tuple[bytes, bytes]
+        self, exchange: Exchange, attempt: str, attempt_header: tuple[bytes, bytes]
     ) -> None:
-        exchange.start(200, [name, SEAL, (b"Content-Type", b"text/event-stream")])
-        for number in range(1, EVENTS + 1):
+        exchange.start(
+            200, [attempt_header, SEAL, (b"Content-Type", b"text/event-stream")]
+        )
+        for number in range(1, EVENTS_PER_STREAM + 1):
             if exchange.gone.is_set():
                 return
             exchange.send(_event(attempt, number))
-            await asyncio.sleep(EVENT_PAUSE_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         exchange.finish()
 
 
-class PlatformList(_Standin):
-    """The platform's list of targets.
+class PlatformTargetList(_ProxiedListener):
+    """The platform's target list.
 
     Args:
       timer: the timer service.
-      targets: those that are listed; the caller changes the list.
+      targets: the listed targets; shared with the caller, who changes it.
     """
 
     def __init__(self, timer: TimerService, targets: list[SoakTarget]) -> None:
         super().__init__(timer)
         self._targets = targets
 
-    async def _answer(self, exchange: Exchange) -> None:
-        rows = [target.row() for target in self._targets]
-        document = {"instances": rows, "next": None}
+    async def _handle(self, exchange: Exchange) -> None:
+        entries = [target.list_entry() for target in self._targets]
+        document = {"instances": entries, "next": None}
         exchange.respond(200, [], json.dumps(document).encode())
 
 
 def configuration(version: int) -> dict[str, Any]:
-    """Return one version of the configuration; each has a route of its own."""
+    """Return one version of the configuration, with a route named after it."""
     kinds = (("unsafe", "app", 1), ("safe", "app", 2), ("streaming", "llm", 1))
     routes = [
         {
