--- a/bench/fault_proxy.py
+++ b/bench/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, silences or resets the connections through it."""
+"""TCP proxy on loopback that delays, blocks or resets the connections through it."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 __all__ = ["FaultProxy", "LinkState"]
 
-PIECE_BYTES = 65_536
+MAX_READ_BYTES = 65_536
 
 
 class LinkState(enum.Enum):
-    """What becomes of the bytes on a link."""
+    """How the proxy treats the bytes on its link."""
 
     OPEN = "open"
     DELAYED = "delayed"
-    # Nothing passes, and nobody is told.
+    # Bytes are held in both directions while connections stay open.
     SILENT = "silent"
-    # Only what callers send passes, or only what the other end answers.
+    # Bytes are held in one direction: from the upstream, or to it.
     NO_ANSWERS = "no-answers"
     NO_REQUESTS = "no-requests"
-    # Connections are reset, and new ones too.
+    # Existing and new connections are reset.
     RESET = "reset"
 
 
 class FaultProxy:
-    """Passes connections on to one address.
+    """Forwards connections to one upstream address.
 
     Args:
-      upstream: HOST:PORT of the other end.
-      listen: HOST:PORT to listen at; port 0 for any.
-      delay_s: how long each piece is held while the link is delayed.
+      upstream: HOST:PORT to connect to.
+      listen: HOST:PORT to listen at; port 0 for any free port.
+      delay_s: delay of each read while the link is delayed.
 
     Attributes:
-      address: where it listens.
-      state: what becomes of the bytes.
+      address: HOST:PORT at which it listens; empty before `start`.
+      state: state of the link; changed with `set`.
     """
 
     def __init__(
@@ -48,19 +48,23 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._changed = asyncio.Event()
+        self._state_changed = asyncio.Event()
         self.state = LinkState.OPEN
         self.address = ""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen.
+
+        Raises:
+          OSError: the address cannot be bound.
+        """
         host, _, port = self._listen.rpartition(":")
         self._server = await asyncio.start_server(self._accept, host, int(port))
-        bound = self._server.sockets[0].getsockname()
-        self.address = f"{bound[0]}:{bound[1]}"
+        bound_address = self._server.sockets[0].getsockname()
+        self.address = f"{bound_address[0]}:{bound_address[1]}"
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop to listen and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.set(LinkState.RESET)
@@ -69,10 +73,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set(self, state: LinkState) -> None:
-        """Change the link; what is under way is affected too."""
+        """Change the state of the link, also for bytes that are held now."""
         self.state = state
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
         if state is LinkState.RESET:
             for writer in self._writers:
                 _reset(writer)
@@ -84,58 +88,60 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            await self._join(reader, writer)
+            await self._relay(reader, writer)
         except (OSError, EOFError):
-            # Either end is gone; the other one is closed below.
+            # One end has failed; the other one is closed in `_relay`.
             writer.transport.abort()
         except asyncio.CancelledError:
-            # `stop` ends it; nobody waits for the result.
+            # Cancelled by `stop`; the task's result is not used.
             return
         finally:
             self._tasks.discard(task)
             writer.transport.abort()
 
-    async def _join(
+    async def _relay(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.state is LinkState.RESET:
             _reset(writer)
             return
         host, _, port = self._upstream.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        self._writers |= {writer, far_writer}
-        requests = asyncio.ensure_future(
-            self._pass(reader, far_writer, LinkState.NO_REQUESTS)
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            host, int(port)
+        )
+        self._writers |= {writer, upstream_writer}
+        request_task = asyncio.ensure_future(
+            self._forward(reader, upstream_writer, LinkState.NO_REQUESTS)
         )
-        answers = asyncio.ensure_future(
-            self._pass(far_reader, writer, LinkState.NO_ANSWERS)
+        response_task = asyncio.ensure_future(
+            self._forward(upstream_reader, writer, LinkState.NO_ANSWERS)
         )
         try:
-            await asyncio.gather(requests, answers)
+            await asyncio.gather(request_task, response_task)
         finally:
-            requests.cancel()
-            answers.cancel()
-            self._writers -= {writer, far_writer}
-            far_writer.transport.abort()
+            request_task.cancel()
+            response_task.cancel()
+            self._writers -= {writer, upstream_writer}
+            upstream_writer.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        stopped: LinkState,
+        blocking_state: LinkState,
     ) -> None:
-        while data := await reader.read(PIECE_BYTES):
+        while data := await reader.read(MAX_READ_BYTES):
             if self.state is LinkState.DELAYED:
                 await asyncio.sleep(self._delay_s)
-            while self.state in (stopped, LinkState.SILENT):
-                await self._changed.wait()
+            while self.state in (blocking_state, LinkState.SILENT):
+                await self._state_changed.wait()
             writer.write(data)
             await writer.drain()
         writer.write_eof()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection with a reset instead of an end."""
+    """Close a connection with RST instead of FIN."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,6 +1,6 @@
 """A small fleet of real processes on loopback, for the demo and the soak.
 
-The script that uses it starts every process; no daemon starts another.
+All processes are children of the script that uses it.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 PEER_KEY = "fleet-key-for-one-run"
 CALLER_KEY = "caller-key-for-one-run"
-STARTUP_LIMIT_S = 30.0
-POLL_S = 0.1
+STARTUP_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
 
 
 class ManagedProcess:
     """A child process that can be killed, stopped, suspended and restarted.
 
     Args:
-      name: its name, for the log files.
+      name: its name; its output goes to NAME.out.
       arguments: its command line.
-      folder: where its output goes.
+      folder: folder of the output file, to which each start appends.
     """
 
     def __init__(
@@ -49,61 +49,61 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
-    def running(self) -> bool:
-        """Whether the process is there."""
+    def is_running(self) -> bool:
+        """Whether the process has been started and has not exited."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def pid(self) -> int:
-        """The process's id; 0 before the start."""
+        """The process id; 0 before the first start."""
         return self._process.pid if self._process else 0
 
     def start(self) -> None:
-        """Start the process."""
+        """Start the process; it must not be running."""
         with self._output.open("ab") as output:
             self._process = subprocess.Popen(
                 self._arguments, stdout=output, stderr=output, stdin=subprocess.DEVNULL
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to a process that is there."""
-        if self._process is not None and self.running:
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
+        if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
-        self.send(signal.SIGKILL)
+        """Kill the process, if it is running, and wait for its end."""
+        self.send_signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
-    async def stopped(self, limit_s: float) -> int | None:
-        """Wait for the end of a planned stop; return its exit code."""
+    async def wait_stopped(self, limit_s: float) -> int | None:
+        """Wait for the process to exit; return its exit code, None on timeout."""
         waited_s = 0.0
-        while self.running and waited_s < limit_s:
-            await asyncio.sleep(POLL_S)
-            waited_s += POLL_S
+        while self.is_running and waited_s < limit_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            waited_s += POLL_INTERVAL_S
         return self._process.poll() if self._process else None
 
 
 @attrs.frozen
 class FleetPlan:
-    """How many of each there are; they spread over the data centres in turn.
+    """Size of the fleet; VMs and targets go to the data centres in rotation.
 
     Attributes:
       data_centres: names of the data centres.
-      vms: entries; the first `control` of them are control VMs too.
-      control: how many control VMs.
-      engines: stand-in engines.
-      plains: stand-ins of the plain service.
+      vms: number of entries; the first `control_vms` of them are control VMs too.
+      control_vms: number of control VMs.
+      engines: number of stand-in engines.
+      plain_services: number of stand-ins of the plain service.
       token_s: time between tokens of an engine.
       balancer_lag_s: the VMs' setting of that name.
     """
 
     data_centres: tuple[str, ...] = ("dk-west-a", "dk-west-b", "dk-west-c")
     vms: int = 3
-    control: int = 3
+    control_vms: int = 3
     engines: int = 2
-    plains: int = 1
+    plain_services: int = 1
     token_s: float = 0.02
     balancer_lag_s: float = 1.0
 
@@ -112,8 +112,18 @@
     """Daemons and stand-ins with their settings in one folder.
 
     Args:
-      plan: what to run.
-      folder: an empty folder for settings, state and logs.
+      plan: the size of the fleet.
+      folder: folder for settings, state and logs; deleted first.
+
+    Attributes:
+      vm_names: names of the VMs; vm-1 is the first.
+      caller_addresses: HOST:PORT for callers, by VM name.
+      operator_addresses: HOST:PORT for operators, by VM name.
+      peer_addresses: HOST:PORT for peers, by VM name.
+      engines: HOST:PORT of the stand-in engines, by name.
+      plain_services: HOST:PORT of the stand-ins of the plain service, by name.
+      key_file: file with the key of operators and peers.
+      processes: all processes, by name.
     """
 
     def __init__(self, plan: FleetPlan, folder: pathlib.Path) -> None:
@@ -121,36 +131,43 @@
         self.folder = folder
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
-        ports = iter(free_ports(3 * plan.vms + plan.engines + plan.plains))
+        ports = iter(free_ports(3 * plan.vms + plan.engines + plan.plain_services))
         self.vm_names = [f"vm-{number}" for number in range(1, plan.vms + 1)]
-        self.caller = {name: f"127.0.0.1:{next(ports)}" for name in self.vm_names}
-        self.operator = {name: f"127.0.0.1:{next(ports)}" for name in self.vm_names}
-        self.peer = {name: f"127.0.0.1:{next(ports)}" for name in self.vm_names}
+        self.caller_addresses = {
+            name: f"127.0.0.1:{next(ports)}" for name in self.vm_names
+        }
+        self.operator_addresses = {
+            name: f"127.0.0.1:{next(ports)}" for name in self.vm_names
+        }
+        self.peer_addresses = {
+            name: f"127.0.0.1:{next(ports)}" for name in self.vm_names
+        }
         self.engines = {
             f"engine-{n}": f"127.0.0.1:{next(ports)}"
             for n in range(1, plan.engines + 1)
         }
-        self.plains = {
-            f"app-{n}": f"127.0.0.1:{next(ports)}" for n in range(1, plan.plains + 1)
+        self.plain_services = {
+            f"app-{n}": f"127.0.0.1:{next(ports)}"
+            for n in range(1, plan.plain_services + 1)
         }
         self.key_file = folder / "keys.txt"
         self.key_file.write_text(PEER_KEY + "\n", encoding="utf-8")
         self.processes: dict[str, ManagedProcess] = {}
-        self._write_folder()
+        self._write_operator_folder()
         for name in self.vm_names:
             self._add_daemon(name)
         self._add_standins()
 
     @property
     def operator_folder(self) -> pathlib.Path:
-        """The operators' folder."""
+        """The folder of configuration documents that operators apply."""
         return self.folder / "operators"
 
     def data_centre(self, number: int) -> str:
-        """Return the data centre of the n-th VM, engine or plain service."""
+        """Return the data centre of a VM, engine or plain service, counted from 0."""
         return self.plan.data_centres[number % len(self.plan.data_centres)]
 
-    def _write_folder(self) -> None:
+    def _write_operator_folder(self) -> None:
         self.operator_folder.mkdir()
         lines = []
         for name in self.plan.data_centres:
@@ -175,13 +192,15 @@
         self._write_ini("20-services.ini", lines)
         lines = []
         for number, (name, address) in enumerate(self.engines.items()):
-            lines += self._target(name, "plan-llm", address, number)
+            lines += self._target_section(name, "plan-llm", address, number)
             lines += ["memory_tokens = 100000", "checks_fencing = yes", ""]
-        for number, (name, address) in enumerate(self.plains.items()):
-            lines += [*self._target(name, "stable-app", address, number), ""]
+        for number, (name, address) in enumerate(self.plain_services.items()):
+            lines += [*self._target_section(name, "stable-app", address, number), ""]
         self._write_ini("30-targets.ini", lines)
 
-    def _target(self, name: str, service: str, address: str, number: int) -> list[str]:
+    def _target_section(
+        self, name: str, service: str, address: str, number: int
+    ) -> list[str]:
         return [
             f"[target {name}]",
             f"service = {service}",
@@ -195,17 +214,19 @@
 
     def _add_daemon(self, name: str) -> None:
         number = self.vm_names.index(name)
-        controls = [self.peer[vm] for vm in self.vm_names[: self.plan.control]]
-        roles = "entry control" if number < self.plan.control else "entry"
+        controls = [
+            self.peer_addresses[vm] for vm in self.vm_names[: self.plan.control_vms]
+        ]
+        roles = "entry control" if number < self.plan.control_vms else "entry"
         text = f"""[vm]
 name = {name}
 data_centre = {self.data_centre(number)}
 region = dk-west
 roles = {roles}
-caller_address = {self.caller[name]}
-operator_address = {self.operator[name]}
-peer_address = {self.peer[name]}
-join_addresses = {" ".join(self.peer.values())}
+caller_address = {self.caller_addresses[name]}
+operator_address = {self.operator_addresses[name]}
+peer_address = {self.peer_addresses[name]}
+join_addresses = {" ".join(self.peer_addresses.values())}
 control_addresses = {" ".join(controls)}
 data_folder = {self.folder / name}
 key_file = {self.key_file}
@@ -221,42 +242,49 @@
         token_s = str(self.plan.token_s)
         for name, address in self.engines.items():
             arguments = [sys.executable, "-m", "bench.standin_engine", address]
-            arguments += ["--token-s", token_s, "--record", str(self._record(name))]
+            arguments += [
+                "--token-s",
+                token_s,
+                "--record",
+                str(self._record_path(name)),
+            ]
             self.processes[name] = ManagedProcess(name, arguments, self.folder)
-        for name, address in self.plains.items():
+        for name, address in self.plain_services.items():
             arguments = [sys.executable, "-m", "bench.standin_plain", address]
-            arguments += ["--record", str(self._record(name))]
+            arguments += ["--record", str(self._record_path(name))]
             self.processes[name] = ManagedProcess(name, arguments, self.folder)
 
     async def start(self) -> None:
-        """Start everything, apply the folder and wait until all are ready.
+        """Start all processes, apply the folder and wait until all VMs are ready.
 
         Raises:
           RuntimeError: the fleet is not ready in time.
         """
         for process in self.processes.values():
             process.start()
-        await self._until_operable()
-        await self.command(
+        await self._wait_until_operable()
+        await self.run_command(
             "config", "apply", str(self.operator_folder), "--number", "1"
         )
         for name in self.vm_names:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
-    async def _until_operable(self) -> None:
+    async def _wait_until_operable(self) -> None:
         waited_s = 0.0
         while True:
             try:
-                await self.command("control", "status")
+                await self.run_command("control", "status")
                 return
             except RuntimeError:
-                if waited_s > STARTUP_LIMIT_S:
+                if waited_s > STARTUP_TIMEOUT_S:
                     raise
-            await asyncio.sleep(POLL_S)
-            waited_s += POLL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
+            waited_s += POLL_INTERVAL_S
 
-    async def until_ready(self, name: str, limit_s: float = STARTUP_LIMIT_S) -> None:
-        """Wait until an entry is ready for the balancer.
+    async def wait_until_ready(
+        self, name: str, limit_s: float = STARTUP_TIMEOUT_S
+    ) -> None:
+        """Wait until an entry reports ready to the load balancer.
 
         Raises:
           RuntimeError: it is not ready in time.
@@ -265,12 +293,12 @@
         while not await self.is_ready(name):
             if waited_s > limit_s:
                 raise RuntimeError(f"{name} is not ready within {limit_s} s")
-            await asyncio.sleep(POLL_S)
-            waited_s += POLL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
+            waited_s += POLL_INTERVAL_S
 
     async def is_ready(self, name: str) -> bool:
-        """Tell whether an entry says that it is ready."""
-        url = f"http://{self.caller[name]}/health/ready"
+        """Tell whether an entry reports ready; False if it does not respond."""
+        url = f"http://{self.caller_addresses[name]}/health/ready"
         timeout = aiohttp.ClientTimeout(total=1.0)
         try:
             async with (
@@ -281,14 +309,14 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
-    async def command(self, *arguments: str) -> Any:
-        """Run the command-line tool against the fleet; return its JSON.
+    async def run_command(self, *arguments: str) -> Any:
+        """Run the command-line tool against the fleet; return its decoded JSON.
 
         Raises:
-          RuntimeError: it exited with an error.
+          RuntimeError: it exited with a non-zero status.
         """
         servers: list[str] = []
-        for address in self.operator.values():
+        for address in self.operator_addresses.values():
             servers += ["--server", address]
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -307,29 +335,36 @@
         if process.returncode != 0:
             text = " ".join(arguments)
             raise RuntimeError(
-                f"{text} exited {process.returncode}: {error.decode().strip()}"
+                f"{text} exited with {process.returncode}: {error.decode().strip()}"
             )
         return json.loads(output) if output.strip() else None
 
-    def _record(self, standin: str) -> pathlib.Path:
+    def _record_path(self, standin: str) -> pathlib.Path:
         return self.folder / f"{standin}.record"
 
-    def recorded(self, standin: str) -> collections.Counter[str]:
-        """Return how often a stand-in ran each tag, over all its restarts."""
-        path = self._record(standin)
+    def recorded_tags(self, standin: str) -> collections.Counter[str]:
+        """Return how often a stand-in ran each tag, over all its restarts.
+
+        Read from the file that the stand-in appends to.
+        """
+        path = self._record_path(standin)
         if not path.exists():
             return collections.Counter()
         return collections.Counter(path.read_text(encoding="utf-8").splitlines())
 
     async def reclaim(self, engine: str, notice_s: float = 5.0) -> None:
-        """Give an engine notice that it will go."""
+        """Give an engine notice that it will be reclaimed in `notice_s` seconds."""
         url = f"http://{self.engines[engine]}/standin/leave?in_s={notice_s}"
         async with aiohttp.ClientSession() as session, session.post(url):
             return
 
-    async def ran(self, standin: str) -> Any:
-        """Return what a stand-in says that it ran."""
-        address = {**self.engines, **self.plains}[standin]
+    async def fetch_runs(self, standin: str) -> Any:
+        """Return the runs that a stand-in reports since its last start.
+
+        For an engine the number of starts by generation id, for a plain service the
+        list of its calls.
+        """
+        address = {**self.engines, **self.plain_services}[standin]
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{address}/standin/ran") as response,
@@ -337,8 +372,8 @@
             return await response.json()
 
     def stop(self) -> None:
-        """Kill whatever still runs."""
+        """Kill all processes that are running, also suspended ones."""
         for process in self.processes.values():
-            if process.running:
+            if process.is_running:
                 os.kill(process.pid, signal.SIGCONT)
                 process.kill()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""The soak: a small fleet of real daemons under load and a schedule of faults.
+"""Soak of the daemons: a small real fleet under load and scheduled faults.
 
 `python -m bench.soak --seed N` starts every process itself, kills, suspends,
-stops and restarts them by the seed's schedule, and checks every token, every
-booking and every refusal against what the stand-ins ran. It exits with 0 only
-if no promise was seen broken.
+stops and restarts processes as scheduled by the seed, and checks every token,
+booking and refusal against the runs that the stand-ins recorded. It exits with 0
+only if no violation was found.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 __all__ = ["main"]
 
 RUN_FOLDER = pathlib.Path("run/soak")
-PLANNED_STOP_LIMIT_S = 60.0
+PLANNED_STOP_TIMEOUT_S = 60.0
 DRAIN_S = 60.0
 STALL_THRESHOLD_S = 1.0
-SHOWN_FINDINGS = 10
+MAX_PRINTED_FINDINGS = 10
 NON_REPEATABLE = frozenset(("bookings", "bookings-without-key"))
 
 EXPERIMENT = """
@@ -75,18 +75,18 @@
 
     Args:
       seed: seed of the load and of the faults.
-      duration_s: how long load is sent.
-      rate_per_s: requests a second.
+      duration_s: length of the load.
+      rate_per_s: mean rate of requests.
     """
 
     def __init__(self, seed: int, duration_s: float, rate_per_s: float) -> None:
         self._seed = seed
         self._duration_s = duration_s
         self._timer = SystemTimer()
-        plan = FleetPlan(vms=6, control=5, engines=6, plains=3)
+        plan = FleetPlan(vms=6, control_vms=5, engines=6, plain_services=3)
         self._fleet = Fleet(plan, RUN_FOLDER / f"seed-{seed}")
         text = EXPERIMENT.format(
-            addresses=" ".join(self._fleet.caller.values()),
+            addresses=" ".join(self._fleet.caller_addresses.values()),
             duration_s=duration_s,
             drain_s=DRAIN_S,
             rate_per_s=rate_per_s,
@@ -94,13 +94,13 @@
             key=CALLER_KEY,
         )
         self._experiment = parse_experiment(text, "soak")
-        self._stops: list[tuple[str, float, float]] = []
-        self._busy: set[str] = set()
-        self._next_number = 2
+        self._planned_stops: list[tuple[str, float, float]] = []
+        self._stopping: set[str] = set()
+        self._next_revision = 2
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> int:
-        """Run the soak; return the exit code."""
+        """Run the soak and print its report; return the exit code."""
         fleet = self._fleet
         names = FleetNames(
             tuple(fleet.vm_names), tuple(fleet.engines), fleet.plan.data_centres
@@ -113,11 +113,13 @@
             await self._inject(schedule)
             records = await load
             await asyncio.gather(*self._tasks, return_exceptions=True)
-            runs = await self._runs()
+            runs = await self._collect_runs()
         finally:
             fleet.stop()
-        findings = check_soak(records, runs, self._seed, NON_REPEATABLE, self._stops)
-        self._print(records, findings, runner.unsent)
+        findings = check_soak(
+            records, runs, self._seed, NON_REPEATABLE, self._planned_stops
+        )
+        self._print_report(records, findings, runner.unsent)
         return 1 if findings.violations else 0
 
     async def _inject(self, schedule: list[Fault]) -> None:
@@ -128,20 +130,20 @@
                 await asyncio.sleep(wait_s)
             text = f"{fault.at_s:7.1f} s {fault.action} {fault.subject}"
             print(text, file=sys.stderr, flush=True)
-            task = asyncio.ensure_future(self._act(fault))
+            task = asyncio.ensure_future(self._run_fault(fault))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _act(self, fault: Fault) -> None:
+    async def _run_fault(self, fault: Fault) -> None:
         try:
-            await self._do(fault)
+            await self._execute(fault)
         except RuntimeError as error:
             print(f"  {fault.action}: {error}", file=sys.stderr, flush=True)
 
-    async def _do(self, fault: Fault) -> None:
+    async def _execute(self, fault: Fault) -> None:
         process = self._fleet.processes.get(fault.subject)
         if fault.action in ("take-out", "put-back"):
-            await self._fleet.command("data-centre", fault.action, fault.subject)
+            await self._fleet.run_command("data-centre", fault.action, fault.subject)
         elif fault.action == "apply":
             await self._apply()
         elif fault.action == "reclaim":
@@ -150,53 +152,57 @@
             raise RuntimeError(f"no process {fault.subject}")
         elif fault.action == "planned-stop":
             await self._planned_stop(fault.subject)
-        elif fault.subject in self._busy:
+        elif fault.subject in self._stopping:
             return
         elif fault.action == "kill":
             process.kill()
         elif fault.action == "start":
-            if not process.running:
+            if not process.is_running:
                 process.start()
         elif fault.action == "suspend":
-            process.send(signal.SIGSTOP)
+            process.send_signal(signal.SIGSTOP)
         elif fault.action == "continue":
-            process.send(signal.SIGCONT)
+            process.send_signal(signal.SIGCONT)
 
     async def _apply(self) -> None:
-        number, self._next_number = self._next_number, self._next_number + 1
+        revision, self._next_revision = self._next_revision, self._next_revision + 1
         path = self._fleet.operator_folder / "40-soak.ini"
-        text = f"[service plan-llm]\ngap_target_ms = {70 + number}\n"
+        text = f"[service plan-llm]\ngap_target_ms = {70 + revision}\n"
         path.write_text(text, encoding="utf-8")
         folder = str(self._fleet.operator_folder)
-        await self._fleet.command("config", "apply", folder, "--number", str(number))
+        await self._fleet.run_command(
+            "config", "apply", folder, "--number", str(revision)
+        )
 
     async def _planned_stop(self, vm: str) -> None:
         process = self._fleet.processes[vm]
-        if not process.running or vm in self._busy:
+        if not process.is_running or vm in self._stopping:
             return
-        self._busy.add(vm)
-        begin_s = self._timer.now_s()
-        process.send(signal.SIGCONT)
-        process.send(signal.SIGTERM)
-        exit_code = await process.stopped(PLANNED_STOP_LIMIT_S)
-        self._stops.append((self._fleet.caller[vm], begin_s, self._timer.now_s()))
+        self._stopping.add(vm)
+        started_s = self._timer.now_s()
+        process.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGTERM)
+        exit_code = await process.wait_stopped(PLANNED_STOP_TIMEOUT_S)
+        self._planned_stops.append(
+            (self._fleet.caller_addresses[vm], started_s, self._timer.now_s())
+        )
         if exit_code != 0:
-            text = f"  {vm} ended its planned stop with {exit_code}"
+            text = f"  {vm} ended its planned stop with exit code {exit_code}"
             print(text, file=sys.stderr, flush=True)
             process.kill()
         process.start()
-        self._busy.discard(vm)
+        self._stopping.discard(vm)
 
-    async def _runs(self) -> StandinRuns:
+    async def _collect_runs(self) -> StandinRuns:
         generations: collections.Counter[str] = collections.Counter()
         calls: collections.Counter[str] = collections.Counter()
         for name in self._fleet.engines:
-            generations.update(self._fleet.recorded(name))
-        for name in self._fleet.plains:
-            calls.update(self._fleet.recorded(name))
+            generations.update(self._fleet.recorded_tags(name))
+        for name in self._fleet.plain_services:
+            calls.update(self._fleet.recorded_tags(name))
         return StandinRuns(dict(generations), dict(calls))
 
-    def _print(
+    def _print_report(
         self, records: list[RequestRecord], findings: SoakFindings, unsent: int
     ) -> None:
         summary = summarize(records, self._duration_s, STALL_THRESHOLD_S)
@@ -209,15 +215,15 @@
         for name, quantiles in (("gap", summary.gap_ms), ("first", summary.first_ms)):
             for quantile, value in quantiles.items():
                 report.add(f"{name} {quantile}", value, "ms")
-        for promise, found in (
+        for promise, texts in (
             ("tokens lost, doubled or out of order", findings.disorder),
-            ("non-repeatable calls run twice", findings.doubled_calls),
+            ("non-repeatable calls run twice", findings.duplicate_calls),
             ("answered calls that never ran", findings.lost_calls),
             ("false not-run", findings.false_not_run),
             ("streams cut by a planned stop", findings.cut_by_planned_stop),
         ):
-            report.add(promise, len(found), "requests", "0", not found)
-            for text in found[:SHOWN_FINDINGS]:
+            report.add(promise, len(texts), "requests", "0", not texts)
+            for text in texts[:MAX_PRINTED_FINDINGS]:
                 print(f"VIOLATION {promise}: {text}", file=sys.stderr)
         for reason, count in findings.incomplete.most_common():
             report.add(f"incomplete: {reason}", count, "requests")
--- a/bench/soak_check.py
+++ b/bench/soak_check.py
@@ -1,4 +1,4 @@
-"""The soak's checks: what callers were told against what the stand-ins ran."""
+"""Checks of the soak: responses to callers against the runs of the stand-ins."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @attrs.frozen
 class StandinRuns:
-    """What the stand-ins ran, over all their restarts.
+    """Runs recorded by the stand-ins, over all their restarts.
 
     Attributes:
-      generations: how often each caller's tag was started at any engine.
-      calls: how often each body of a non-repeatable call ran at any service.
+      generations: number of starts at all engines, by the request's tag.
+      calls: number of runs at all plain services, by the request's body, its tag.
     """
 
     generations: dict[str, int]
@@ -29,10 +29,19 @@
 
 @attrs.define
 class SoakFindings:
-    """What was found to be wrong, by promise; each entry names a request."""
+    """Violations by promise, each with the tag of its request.
+
+    Attributes:
+      disorder: generations with tokens lost, doubled or out of order.
+      duplicate_calls: non-repeatable calls that ran more than once.
+      lost_calls: completed calls that never ran.
+      false_not_run: requests that ran although refused as not run.
+      cut_by_planned_stop: streams broken by the planned stop of their entry.
+      incomplete: number of incomplete requests by reason; not violations.
+    """
 
     disorder: list[str] = attrs.Factory(list)
-    doubled_calls: list[str] = attrs.Factory(list)
+    duplicate_calls: list[str] = attrs.Factory(list)
     lost_calls: list[str] = attrs.Factory(list)
     false_not_run: list[str] = attrs.Factory(list)
     cut_by_planned_stop: list[str] = attrs.Factory(list)
@@ -40,10 +49,10 @@
 
     @property
     def violations(self) -> int:
-        """How many promises were seen broken."""
+        """Number of violations of all promises."""
         return (
             len(self.disorder)
-            + len(self.doubled_calls)
+            + len(self.duplicate_calls)
             + len(self.lost_calls)
             + len(self.false_not_run)
             + len(self.cut_by_planned_stop)
@@ -51,7 +60,7 @@
 
 
 def tag_of(record: RequestRecord, seed: int) -> str:
-    """Return the tag by which the stand-ins know a request."""
+    """Return the tag under which the stand-ins record a request."""
     return f"{record.stream}-{seed}-{record.number}"
 
 
@@ -65,11 +74,11 @@
     """Check every request.
 
     Args:
-      records: what callers saw.
-      runs: what the stand-ins ran.
+      records: the requests as observed by the callers.
+      runs: the runs recorded by the stand-ins.
       seed: the load's seed.
-      non_repeatable: names of the streams whose calls may run once only.
-      planned_stops: address, begin and end of each planned stop.
+      non_repeatable: names of the streams whose calls must not run twice.
+      planned_stops: caller address, start and end in seconds of each planned stop.
     """
     findings = SoakFindings()
     for record in records:
@@ -87,13 +96,13 @@
 
 
 def _check_call(
-    record: RequestRecord, tag: str, ran: int, findings: SoakFindings
+    record: RequestRecord, tag: str, run_count: int, findings: SoakFindings
 ) -> None:
-    if ran > 1:
-        findings.doubled_calls.append(f"{tag} ran {ran} times")
-    if record.complete and ran == 0:
-        findings.lost_calls.append(f"{tag} was answered but never ran")
-    if record.run == NOT_RUN and ran:
+    if run_count > 1:
+        findings.duplicate_calls.append(f"{tag} ran {run_count} times")
+    if record.complete and run_count == 0:
+        findings.lost_calls.append(f"{tag} got a response but never ran")
+    if record.run == NOT_RUN and run_count:
         findings.false_not_run.append(f"{tag} ran although refused as not run")
 
 
@@ -110,5 +119,6 @@
     address: str, at_s: float, stops: Sequence[tuple[str, float, float]]
 ) -> bool:
     return any(
-        address == where and begin_s <= at_s <= end_s for where, begin_s, end_s in stops
+        address == stopped_address and started_s <= at_s <= ended_s
+        for stopped_address, started_s, ended_s in stops
     )
--- a/bench/soak_schedule.py
+++ b/bench/soak_schedule.py
@@ -1,4 +1,4 @@
-"""The soak's fault schedule: a seed gives the same faults at the same times."""
+"""Fault schedule of the soak, determined by a seed."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 __all__ = ["Fault", "FleetNames", "make_schedule"]
 
 FIRST_FAULT_S = 8.0
+# No fault starts in the last seconds of the load.
 LAST_FAULT_MARGIN_S = 30.0
-SHORTEST_PAUSE_S = 4.0
-LONGEST_PAUSE_S = 8.0
+MIN_INTERVAL_S = 4.0
+MAX_INTERVAL_S = 8.0
 SUSPENSION_S = 8.0
-DOWN_S = 3.0
-OUT_S = 8.0
+RESTART_DELAY_S = 3.0
+TAKEN_OUT_S = 8.0
 RECLAIM_NOTICE_S = 5.0
 
-Maker = Callable[[random.Random, "FleetNames", float], list["Fault"]]
+FaultFactory = Callable[[random.Random, "FleetNames", float], list["Fault"]]
 
-_MAKERS: list[Maker] = []
+_FACTORIES: list[FaultFactory] = []
 
 
 @attrs.frozen(order=True)
@@ -28,9 +29,9 @@
     """One action of the schedule.
 
     Attributes:
-      at_s: when, from the start of the load.
-      action: what is done; see `bench.soak`.
-      subject: the process or data centre.
+      at_s: time from the start of the load.
+      action: name of the action, as `bench.soak` executes it.
+      subject: name of the process or data centre; empty for `apply`.
     """
 
     at_s: float
@@ -40,78 +41,81 @@
 
 @attrs.frozen
 class FleetNames:
-    """What the faults may hit."""
+    """Names of the VMs, engines and data centres to which faults may apply."""
 
     vms: tuple[str, ...]
     engines: tuple[str, ...]
     data_centres: tuple[str, ...]
 
 
-def _maker(function: Maker) -> Maker:
-    _MAKERS.append(function)
+def _register(function: FaultFactory) -> FaultFactory:
+    _FACTORIES.append(function)
     return function
 
 
-@_maker
-def _kill_vm(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    vm = source.choice(names.vms)
-    return [Fault(at_s, "kill", vm), Fault(at_s + DOWN_S, "start", vm)]
+@_register
+def _kill_vm(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    vm = rng.choice(names.vms)
+    return [Fault(at_s, "kill", vm), Fault(at_s + RESTART_DELAY_S, "start", vm)]
 
 
-@_maker
-def _stop_vm(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    vm = source.choice(names.vms)
+@_register
+def _stop_vm(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    vm = rng.choice(names.vms)
     return [Fault(at_s, "planned-stop", vm)]
 
 
-@_maker
-def _suspend_vm(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    vm = source.choice(names.vms)
+@_register
+def _suspend_vm(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    vm = rng.choice(names.vms)
     return [Fault(at_s, "suspend", vm), Fault(at_s + SUSPENSION_S, "continue", vm)]
 
 
-@_maker
-def _take_out(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    place = source.choice(names.data_centres)
-    return [Fault(at_s, "take-out", place), Fault(at_s + OUT_S, "put-back", place)]
+@_register
+def _take_out(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    data_centre = rng.choice(names.data_centres)
+    return [
+        Fault(at_s, "take-out", data_centre),
+        Fault(at_s + TAKEN_OUT_S, "put-back", data_centre),
+    ]
 
 
-@_maker
-def _apply(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+@_register
+def _apply(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
     return [Fault(at_s, "apply", "")]
 
 
-@_maker
-def _reclaim(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    engine = source.choice(names.engines)
-    gone_s = at_s + RECLAIM_NOTICE_S
+@_register
+def _reclaim(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    engine = rng.choice(names.engines)
+    killed_s = at_s + RECLAIM_NOTICE_S
     return [
         Fault(at_s, "reclaim", engine),
-        Fault(gone_s, "kill", engine),
-        Fault(gone_s + DOWN_S, "start", engine),
+        Fault(killed_s, "kill", engine),
+        Fault(killed_s + RESTART_DELAY_S, "start", engine),
     ]
 
 
-@_maker
-def _kill_engine(source: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
-    engine = source.choice(names.engines)
-    return [Fault(at_s, "kill", engine), Fault(at_s + DOWN_S, "start", engine)]
+@_register
+def _kill_engine(rng: random.Random, names: FleetNames, at_s: float) -> list[Fault]:
+    engine = rng.choice(names.engines)
+    return [Fault(at_s, "kill", engine), Fault(at_s + RESTART_DELAY_S, "start", engine)]
 
 
 def make_schedule(seed: int, names: FleetNames, duration_s: float) -> list[Fault]:
     """Return the faults of a seed in order of time.
 
-    Each kind comes once before any comes twice, in an order of the seed; some
-    overlap, so that two faults may be there together.
+    Every kind occurs once, in random order, before any occurs again. A fault may
+    start before the previous one has ended.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     faults: list[Fault] = []
-    waiting: list[Maker] = []
+    remaining: list[FaultFactory] = []
     at_s = FIRST_FAULT_S
     while at_s < duration_s - LAST_FAULT_MARGIN_S:
-        if not waiting:
-            waiting = list(_MAKERS)
-            source.shuffle(waiting)
-        faults.extend(waiting.pop()(source, names, at_s))
-        at_s += source.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+        if not remaining:
+            remaining = list(_FACTORIES)
+            rng.shuffle(remaining)
+        faults.extend(remaining.pop()(rng, names, at_s))
+        at_s += rng.uniform(MIN_INTERVAL_S, MAX_INTERVAL_S)
     return sorted(faults)
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the proxy that harms connections."""
+"""Tests of the proxy that injects faults into connections."""
 
 import asyncio
 import contextlib
@@ -28,14 +28,14 @@
         host, _, port = self.proxy.address.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def test_bytes_pass_both_ways(self):
+    async def test_open_link_forwards_both_directions(self):
         reader, writer = await self.connect()
         writer.write(b"one")
         self.assertEqual(b"one", await reader.readexactly(3))
         writer.write_eof()
         self.assertEqual(b"", await reader.read())
 
-    async def test_a_silent_link_passes_what_was_held_once_it_is_open(self):
+    async def test_held_bytes_are_forwarded_once_the_link_is_open(self):
         for state in (LinkState.SILENT, LinkState.NO_ANSWERS, LinkState.NO_REQUESTS):
             reader, writer = await self.connect()
             self.proxy.set(state)
@@ -47,7 +47,7 @@
             self.assertEqual(b"two", await reading)
             writer.close()
 
-    async def test_a_reset_ends_connections_and_refuses_new_ones(self):
+    async def test_reset_applies_to_existing_and_new_connections(self):
         reader, writer = await self.connect()
         writer.write(b"one")
         await reader.readexactly(3)
@@ -58,7 +58,7 @@
         with contextlib.suppress(ConnectionResetError):
             self.assertEqual(b"", await reader.read())
 
-    async def test_a_delayed_link_passes_all(self):
+    async def test_delayed_link_forwards_all_bytes(self):
         self.proxy.set(LinkState.DELAYED)
         reader, writer = await self.connect()
         writer.write(b"three")
