--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,8 +1,8 @@
-"""What the log takes of an entry's processor time at full load.
+"""Bench of the processor time that an entry at full load spends on its log.
 
-One process has the parts of an entry and nothing else; callers and targets are in
-this one. The entry serves as many plain requests as it can, once with its log and
-once without, in turns. Printed as JSON, as all benches do.
+A child process runs the parts of an entry; callers and targets are in this process.
+The entry serves as many plain requests as it can, in alternating rounds with and
+without its log. Prints its figures as JSON, as all benches do.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 
 CALLERS = 24
 TARGETS = 4
-TURNS = 5
-TURN_S = 2.0
-TARGET_SHARE = 0.10
+ROUNDS = 5
+ROUND_S = 2.0
+MAX_LOG_FRACTION = 0.10
 
 ROUTE = Route(
     "r",
@@ -72,7 +72,7 @@
 
 
 class _Entry:
-    """The parts of an entry in a process of their own."""
+    """The parts of an entry that serve a plain request."""
 
     def __init__(self, targets: list[str], *, logs: bool) -> None:
         timer = SystemTimer()
@@ -118,7 +118,7 @@
 def _run_entry(
     pipe: multiprocessing.connection.Connection, targets: list[str], logs: bool
 ) -> None:
-    """Serve until told; answer with the processor seconds used."""
+    """Serve until "stop"; reply to any other message with the processor time in s."""
 
     async def serve() -> None:
         entry = _Entry(targets, logs=logs)
@@ -128,20 +128,20 @@
         while await loop.run_in_executor(None, pipe.recv) != "stop":
             pipe.send(time.process_time())
 
-    # The lines go to a reader that takes them all, as on the platform.
+    # The log never blocks on its reader, as on the platform.
     output = os.open(os.devnull, os.O_WRONLY)
     os.dup2(output, 1)
     uvloop.run(serve())
 
 
-async def _answer(exchange: Exchange) -> None:
+async def _respond(exchange: Exchange) -> None:
     attempt = (b"X-Endivesill-Request-Attempt-Id", b"a1")
     seal = (b"X-Endivesill-Response-Seal", b"1.2.3")
     exchange.respond(200, [attempt, seal], b"x" * 800)
 
 
 async def _call(address: str, end_s: float, timer: SystemTimer) -> int:
-    """Send one request after the other; return how many were answered."""
+    """Send requests on one connection until a time; return the number of responses."""
     request = encode_head(
         b"GET /p/x HTTP/1.1",
         [
@@ -164,62 +164,65 @@
     return count
 
 
-async def _turn(targets: list[str], *, logs: bool) -> tuple[float, float]:
-    """Return microseconds of processor time a request, and requests a second."""
+async def _measure_round(targets: list[str], *, logs: bool) -> tuple[float, float]:
+    """Run one round; return processor time per request in us, and requests per s."""
     timer = SystemTimer()
-    here, there = multiprocessing.Pipe()
+    parent_pipe, child_pipe = multiprocessing.Pipe()
     context = multiprocessing.get_context("spawn")
-    process = context.Process(target=_run_entry, args=(there, targets, logs))
+    process = context.Process(target=_run_entry, args=(child_pipe, targets, logs))
     process.start()
     loop = asyncio.get_running_loop()
 
-    def ask(question: str) -> float:
-        here.send(question)
-        return here.recv()
+    def query(message: str) -> float:
+        parent_pipe.send(message)
+        return parent_pipe.recv()
 
-    address = await loop.run_in_executor(None, here.recv)
-    before_s = await loop.run_in_executor(None, ask, "time")
-    end_s = timer.now_s() + TURN_S
+    address = await loop.run_in_executor(None, parent_pipe.recv)
+    before_s = await loop.run_in_executor(None, query, "time")
+    end_s = timer.now_s() + ROUND_S
     counts = await asyncio.gather(
         *(_call(address, end_s, timer) for _ in range(CALLERS))
     )
-    used_s = await loop.run_in_executor(None, ask, "time") - before_s
-    here.send("stop")
+    used_s = await loop.run_in_executor(None, query, "time") - before_s
+    parent_pipe.send("stop")
     await loop.run_in_executor(None, process.join)
-    return 1e6 * used_s / sum(counts), sum(counts) / TURN_S
+    return 1e6 * used_s / sum(counts), sum(counts) / ROUND_S
 
 
 async def _measure() -> Report:
     timer = SystemTimer()
-    listeners = [HttpListener(timer, "127.0.0.1:0", _answer) for _ in range(TARGETS)]
+    listeners = [HttpListener(timer, "127.0.0.1:0", _respond) for _ in range(TARGETS)]
     for listener in listeners:
         await listener.start()
     targets = [listener.address for listener in listeners]
-    turns = [
-        (await _turn(targets, logs=True), await _turn(targets, logs=False))
-        for _ in range(TURNS)
+    rounds = [
+        (
+            await _measure_round(targets, logs=True),
+            await _measure_round(targets, logs=False),
+        )
+        for _ in range(ROUNDS)
     ]
     for listener in listeners:
         await listener.stop()
-    with_log_us = statistics.median(on[0] for on, _ in turns)
-    without_us = statistics.median(off[0] for _, off in turns)
-    share = 1 - without_us / with_log_us
+    with_log_us = statistics.median(on[0] for on, _ in rounds)
+    without_us = statistics.median(off[0] for _, off in rounds)
+    log_fraction = 1 - without_us / with_log_us
     report = Report("log_cost", seed=1)
     report.add("processor time a request", with_log_us, "us")
     report.add("the same without a log", without_us, "us")
-    report.add("requests a second", statistics.median(on[1] for on, _ in turns), "1/s")
+    report.add("requests a second", statistics.median(on[1] for on, _ in rounds), "1/s")
     report.add(
         "the log's share of processor time",
-        share,
+        log_fraction,
         "",
         "at most 0.1",
-        share <= TARGET_SHARE,
+        log_fraction <= MAX_LOG_FRACTION,
     )
     return report
 
 
 def main() -> int:
-    """Run the bench and print its figures."""
+    """Run the bench and print its report."""
     uvloop.run(_measure()).print()
     return 0
 
--- a/bench/worst_load.py
+++ b/bench/worst_load.py
@@ -1,9 +1,9 @@
-"""Waiting, refusing and placing when the load is at its worst, in virtual time.
+"""Bench of admission and placement under overload with departing engines.
 
-Callers of two classes send generations to six engines that are taken away one after
-the other. Three policies get the same arrivals and the same departures at several
-loads: a plain baseline, the previous version and the current one. The same seed
-gives the same table.
+A simulation in virtual time: callers of two request classes send generations to six
+engines, of which one after the other departs and is replaced. Three policies get the
+same arrivals and departures at several loads: a least-requests baseline, the previous
+version of the product and the current one. The same seed gives the same table.
 
     python -m bench.worst_load [--seeds 10] [--trace FILE] [--record FILE --seed N]
 """
@@ -27,26 +27,26 @@
 from bench.worst_load_arrivals import (
     CLASSES,
     Arrival,
-    class_named,
     draw_arrivals,
+    find_class,
     read_trace,
     write_trace,
 )
 from bench.worst_load_engines import (
-    MEMORY,
-    READ_TOKENS_PER_S,
-    STEP_RUN_S,
-    STEP_S,
+    ENGINE_SPEC,
+    PREFILL_TOKENS_PER_S,
+    STEP_BASE_S,
+    STEP_S_PER_RUN,
     SimEngine,
     SimRun,
 )
 from bench.worst_load_policies import (
-    NOTICE_S,
+    DEPARTURE_NOTICE_S,
     POLICIES,
-    Fleet,
     Grant,
     Policy,
-    order_copy,
+    SimFleet,
+    start_copy,
 )
 from endivesill import events
 from endivesill.forwarding.refusals import within_time_s
@@ -55,96 +55,98 @@
 LOADS = (0.7, 1.0, 1.3, 2.0)
 ENGINES = 6
 DATA_CENTRES = ("a", "b", "c")
-# Arrivals go on for a time after those that are judged, so that who comes back
-# meets the same load.
+# Arrivals continue after the measured period, so that retries of measured requests
+# meet the same load.
 DURATION_S = 60.0
-JUDGED_S = 40.0
-# After the last arrival, until nothing is under way.
-TAIL_S = 40.0
+MEASURED_S = 40.0
+# Time after the last arrival in which running requests may end.
+DRAIN_S = 40.0
 TICK_S = 0.02
-# One engine leaves after the other; another comes some time after the notice.
 DEPARTURE_PERIOD_S = 6.0
-REPLACEMENT_S = 4.0
-# The longest pause that is on time.
-PAUSE_S = 0.18
-# Least size of a session that can be told to starve.
-STARVED_REQUESTS = 4
-# Tokens that an engine makes between two parts of a backup.
-BACKUP_LACKS = 25
+# A new engine starts this long after the departure notice of another.
+REPLACEMENT_DELAY_S = 4.0
+# A request with a longer gap between two events counts as late.
+MAX_ON_TIME_GAP_S = 0.18
+# Sessions and organisations with fewer requests do not count as starved.
+MIN_STARVED_REQUESTS = 4
+# Tokens generated between two updates of a backup copy, lost when it takes over.
+BACKUP_LAG_TOKENS = 25
 
 
 @attrs.define
 class Outcome:
-    """What became of a request.
+    """Outcome of a request.
 
     Attributes:
       arrival: the request.
       refusals: how often it was refused.
-      served: whether all of it was made.
-      first_event_s: from its first arrival to its first event; infinite without.
-      pause_s: the longest pause between two events.
+      served: whether the generation was completed.
+      first_event_s: from its first arrival to its first event; infinite without one.
+      max_gap_s: the longest gap between two events.
     """
 
     arrival: Arrival
     refusals: int = 0
     served: bool = False
     first_event_s: float = math.inf
-    pause_s: float = 0.0
+    max_gap_s: float = 0.0
 
     @property
     def is_late(self) -> bool:
-        """Whether it was served, but not on time."""
-        aim_s = class_named(self.arrival.kind).target_latency_s
-        return self.served and (self.first_event_s > aim_s or self.pause_s > PAUSE_S)
+        """Whether it was served, but missed its target latency or had a long gap."""
+        target_s = find_class(self.arrival.kind).target_latency_s
+        return self.served and (
+            self.first_event_s > target_s or self.max_gap_s > MAX_ON_TIME_GAP_S
+        )
 
     @property
     def worth(self) -> float:
-        """What its caller has of it."""
-        kind = class_named(self.arrival.kind)
+        """Its value to the caller, weighted by its size; 0 if not served."""
+        kind = find_class(self.arrival.kind)
         if not self.served:
             return 0.0
         return self.size * (kind.late_worth if self.is_late else kind.worth)
 
     @property
     def size(self) -> float:
-        """Its size against the mean of its class, as the users weigh it."""
-        kind = class_named(self.arrival.kind)
+        """Its size relative to the mean of its class, in the users' weighting."""
+        kind = find_class(self.arrival.kind)
         tokens = self.arrival.prompt_tokens + 10 * self.arrival.output_tokens
         mean = kind.prompt_tokens + 10 * kind.output_tokens
         return min(4.0, 0.3 + 0.7 * tokens / mean)
 
 
 class Simulation:
-    """One policy with one list of arrivals.
+    """Simulation of one policy with one list of arrivals.
 
     Args:
-      name: the policy's name.
-      arrivals: in order of time.
-      seed: of the engines that leave and of the policy's draws.
+      name: the policy's name, a key of `POLICIES`.
+      arrivals: the requests in order of time.
+      seed: seed of the choice of departing engines and of the policy.
     """
 
     def __init__(self, name: str, arrivals: list[Arrival], seed: int) -> None:
         self._timer = ManualTimer(0.0)
-        self._fleet = Fleet(self._timer)
+        self._fleet = SimFleet(self._timer)
         self._policy: Policy = POLICIES[name](self._fleet, seed)
         self._arrivals = arrivals
         self._random = random.Random(seed)
-        self._started = 0
+        self._engines_started = 0
         for _ in range(ENGINES):
             self._add_engine()
 
     async def run(self) -> list[Outcome]:
-        """Play all of it."""
+        """Run the simulation; return the outcomes in the order of the arrivals."""
         outcomes = [Outcome(arrival) for arrival in self._arrivals]
-        callers = [asyncio.ensure_future(self._call(item)) for item in outcomes]
-        # Departures begin in the middle of a period, whatever the load.
-        self._timer.call_after(DEPARTURE_PERIOD_S / 2, self._depart)
+        callers = [asyncio.ensure_future(self._run_caller(item)) for item in outcomes]
+        # The first departure comes after half a period, at every load.
+        self._timer.call_after(DEPARTURE_PERIOD_S / 2, self._announce_departure)
         self._policy.update()
-        while self._timer.now_s() < DURATION_S + TAIL_S:
+        while self._timer.now_s() < DURATION_S + DRAIN_S:
             await self._timer.advance(TICK_S)
             for engine in self._fleet.engines:
                 engine.advance(self._timer.now_s())
-            self._review()
+            self._move_copied_runs()
             self._policy.update()
             if all(caller.done() for caller in callers):
                 break
@@ -155,23 +157,23 @@
 
     # Callers.
 
-    async def _call(self, outcome: Outcome) -> None:
+    async def _run_caller(self, outcome: Outcome) -> None:
         arrival = outcome.arrival
-        kind = class_named(arrival.kind)
+        kind = find_class(arrival.kind)
         await self._timer.sleep(arrival.time_s)
         while True:
-            passed_s = self._timer.now_s() - arrival.time_s
-            left_s = kind.deadline_s - passed_s
-            on_time_s = kind.target_latency_s - passed_s
-            grant = await self._policy.place(arrival, left_s, on_time_s)
+            elapsed_s = self._timer.now_s() - arrival.time_s
+            remaining_s = kind.deadline_s - elapsed_s
+            latency_remaining_s = kind.target_latency_s - elapsed_s
+            grant = await self._policy.place(arrival, remaining_s, latency_remaining_s)
             if isinstance(grant, Grant):
                 await self._generate(outcome, grant)
                 return
             outcome.refusals += 1
             if outcome.refusals > 1:
                 return
-            # Callers come back once, after a part of their time at the latest.
-            await self._timer.sleep(within_time_s(grant.retry_after_s, left_s))
+            # Callers retry once, after at most a part of their remaining time.
+            await self._timer.sleep(within_time_s(grant.retry_after_s, remaining_s))
 
     async def _generate(self, outcome: Outcome, grant: Grant) -> None:
         done = asyncio.get_running_loop().create_future()
@@ -179,130 +181,136 @@
             outcome.arrival,
             grant.reserved_tokens,
             outcome.arrival.prompt_tokens,
-            lambda whole: _settle(done, whole),
+            lambda is_complete: _set_result(done, is_complete),
             backup=grant.backup,
         )
         if grant.backup is not None:
-            grant.backup.held[run.number] = outcome.arrival.prompt_tokens
+            grant.backup.copy_tokens[run.number] = outcome.arrival.prompt_tokens
         grant.engine.start(run)
         outcome.served = await done
         if run.first_event_s is not None:
             outcome.first_event_s = run.first_event_s - outcome.arrival.time_s
-        outcome.pause_s = run.longest_pause_s
-        self._free_copies(run)
+        outcome.max_gap_s = run.longest_gap_s
+        self._release_copies(run)
 
     # Engines.
 
     def _add_engine(self) -> None:
-        data_centre = DATA_CENTRES[self._started % len(DATA_CENTRES)]
-        name = f"e{self._started}"
-        self._started += 1
+        data_centre = DATA_CENTRES[self._engines_started % len(DATA_CENTRES)]
+        name = f"e{self._engines_started}"
+        self._engines_started += 1
         self._fleet.engines.append(SimEngine(name, data_centre, self._timer.now_s()))
 
-    def _depart(self) -> None:
-        staying = [e for e in self._fleet.engines if e.ends_s is None]
+    def _announce_departure(self) -> None:
+        staying = [e for e in self._fleet.engines if e.departs_s is None]
         engine = self._random.choice(staying)
-        engine.ends_s = self._timer.now_s() + NOTICE_S
-        self._timer.call_after(NOTICE_S, lambda: self._end(engine))
+        engine.departs_s = self._timer.now_s() + DEPARTURE_NOTICE_S
+        self._timer.call_after(DEPARTURE_NOTICE_S, lambda: self._remove_engine(engine))
         self._timer.call_after(
             self._policy.notice_lag_s,
-            lambda: asyncio.ensure_future(self._leave(engine)),
+            lambda: asyncio.ensure_future(self._copy_runs(engine)),
         )
-        self._timer.call_after(REPLACEMENT_S, self._add_engine)
+        self._timer.call_after(REPLACEMENT_DELAY_S, self._add_engine)
         if self._timer.now_s() + DEPARTURE_PERIOD_S < DURATION_S:
-            self._timer.call_after(DEPARTURE_PERIOD_S, self._depart)
+            self._timer.call_after(DEPARTURE_PERIOD_S, self._announce_departure)
 
-    async def _leave(self, engine: SimEngine) -> None:
-        """Order copies of the runs that would be lost with an engine."""
+    async def _copy_runs(self, engine: SimEngine) -> None:
+        """Start copies of the runs that would be lost with a departing engine."""
         for run in list(engine.runs):
             if self._has_backup(run):
                 continue
             destination = await self._policy.place_copy(run)
             if destination is not None and run in engine.runs:
-                run.copy = order_copy(run, destination, self._timer.now_s())
+                run.copy = start_copy(run, destination, self._timer.now_s())
 
     def _has_backup(self, run: SimRun) -> bool:
         backup = run.backup
-        if backup is None or backup.ends_s is not None:
+        if backup is None or backup.departs_s is not None:
             return False
         return backup in self._fleet.engines
 
-    def _review(self) -> None:
-        """Let runs whose copy is complete leave their engine."""
-        if not self._policy.moves_at_once:
+    def _move_copied_runs(self) -> None:
+        """Resume runs at the engine of their copy once the copy is complete."""
+        if not self._policy.moves_before_departure:
             return
         now_s = self._timer.now_s()
         for engine in self._fleet.engines:
             for run in list(engine.runs):
                 if run.copy is not None and run.copy.done_s <= now_s:
-                    self._go_on(run, run.copy.destination, run.copy.made)
+                    self._resume(run, run.copy.destination, run.copy.generated)
 
-    def _end(self, engine: SimEngine) -> None:
+    def _remove_engine(self, engine: SimEngine) -> None:
         self._fleet.engines.remove(engine)
         for run in [*engine.runs, *engine.queue]:
             copy = run.copy
             if run.first_event_s is None:
-                run.ended(False)
+                run.on_end(False)
             elif run.backup is not None and self._has_backup(run):
-                # A backup lacks what was made since its last part.
-                self._go_on(run, run.backup, max(0, run.made - BACKUP_LACKS))
+                # Tokens generated since the backup's last update are lost.
+                self._resume(run, run.backup, max(0, run.generated - BACKUP_LAG_TOKENS))
             elif copy is not None and copy.done_s <= self._timer.now_s():
-                self._go_on(run, copy.destination, copy.made)
+                self._resume(run, copy.destination, copy.generated)
             else:
-                run.ended(False)
+                run.on_end(False)
 
-    def _go_on(self, run: SimRun, engine: SimEngine, made: int) -> None:
+    def _resume(self, run: SimRun, engine: SimEngine, generated: int) -> None:
         if engine not in self._fleet.engines:
-            run.ended(False)
+            run.on_end(False)
             return
         assert run.engine is not None
-        run.engine.drop(run)
-        run.unread_tokens = run.made - made
+        run.engine.remove_run(run)
+        run.prefill_tokens = run.generated - generated
         run.backup = run.copy = None
-        engine.start(run, first=True)
+        engine.start(run, admit_first=True)
 
-    def _free_copies(self, run: SimRun) -> None:
+    def _release_copies(self, run: SimRun) -> None:
         for engine in self._fleet.engines:
-            engine.held.pop(run.number, None)
+            engine.copy_tokens.pop(run.number, None)
 
 
-def _settle(done: asyncio.Future[bool], whole: bool) -> None:
+def _set_result(done: asyncio.Future[bool], is_complete: bool) -> None:
     if not done.done():
-        done.set_result(whole)
+        done.set_result(is_complete)
 
 
 def capacity_per_s() -> float:
-    """Return the arrivals that all engines' memory can take, if none leaves."""
-    taken = 0.0
+    """Return the arrival rate that fills the memory of all engines if none departs."""
+    token_seconds = 0.0
     for kind in CLASSES:
-        step_s = STEP_S + 8 * STEP_RUN_S
-        held_s = kind.prompt_tokens / READ_TOKENS_PER_S + kind.output_tokens * step_s
-        taken += kind.share * held_s * (kind.prompt_tokens + kind.output_tokens / 2)
-    return ENGINES * MEMORY.capacity_tokens / taken
+        step_s = STEP_BASE_S + 8 * STEP_S_PER_RUN
+        run_s = kind.prompt_tokens / PREFILL_TOKENS_PER_S + kind.output_tokens * step_s
+        token_seconds += (
+            kind.share * run_s * (kind.prompt_tokens + kind.output_tokens / 2)
+        )
+    return ENGINES * ENGINE_SPEC.capacity_tokens / token_seconds
 
 
 def summary(outcomes: list[Outcome]) -> dict[str, Any]:
-    """Return the figures of a run: of all requests and by class."""
-    outcomes = [item for item in outcomes if item.arrival.time_s < JUDGED_S]
+    """Return the figures of a run: for all measured requests and by class."""
+    outcomes = [item for item in outcomes if item.arrival.time_s < MEASURED_S]
     table = {"all": _figures(outcomes)}
     for kind in CLASSES:
-        own = [item for item in outcomes if item.arrival.kind == kind.name]
-        table[kind.name] = _figures(own)
+        selected = [item for item in outcomes if item.arrival.kind == kind.name]
+        table[kind.name] = _figures(selected)
     return table
 
 
 def _figures(outcomes: list[Outcome]) -> dict[str, float]:
     count = max(1, len(outcomes))
-    owed = sum(item.size * class_named(item.arrival.kind).worth for item in outcomes)
+    attainable = sum(
+        item.size * find_class(item.arrival.kind).worth for item in outcomes
+    )
     broken = [i for i in outcomes if not i.served and i.first_event_s < math.inf]
     return {
-        "worth": round(sum(item.worth for item in outcomes) / max(1.0, owed), 4),
+        "worth": round(sum(item.worth for item in outcomes) / max(1.0, attainable), 4),
         "served": round(sum(item.served for item in outcomes) / count, 4),
         "refused": round(
             sum(i.refusals > 0 and not i.served for i in outcomes) / count, 4
         ),
         "late": round(sum(item.is_late for item in outcomes) / count, 4),
-        "pauses": round(sum(i.served and i.pause_s > PAUSE_S for i in outcomes), 4),
+        "pauses": round(
+            sum(i.served and i.max_gap_s > MAX_ON_TIME_GAP_S for i in outcomes), 4
+        ),
         "broken": len(broken),
         "starved": _starved(outcomes),
         "largest_tenth": _largest_tenth(outcomes),
@@ -310,65 +318,65 @@
 
 
 def _starved(outcomes: list[Outcome]) -> int:
-    """Return how many sessions and organisations that ask often get nothing."""
+    """Return how many frequent sessions and organisations had no request served."""
     starved = 0
     for name in ("session", "organisation"):
         groups: dict[str, list[bool]] = {}
         for item in outcomes:
             groups.setdefault(getattr(item.arrival, name), []).append(item.served)
         starved += sum(
-            len(group) >= STARVED_REQUESTS and not any(group)
+            len(group) >= MIN_STARVED_REQUESTS and not any(group)
             for group in groups.values()
         )
     return starved
 
 
 def _largest_tenth(outcomes: list[Outcome]) -> float:
-    """Return how often the largest are served, against all of them."""
+    """Return the served fraction of the largest tenth, relative to that of all."""
     ordered = sorted(outcomes, key=lambda item: item.size)
     largest = ordered[-max(1, len(ordered) // 10) :]
     share = sum(item.served for item in outcomes) / max(1, len(outcomes))
     if not share:
         return 0.0
-    own = sum(item.served for item in largest) / max(1, len(largest))
-    return round(own / share, 4)
+    selected = sum(item.served for item in largest) / max(1, len(largest))
+    return round(selected / share, 4)
 
 
-def play(name: str, arrivals: list[Arrival], seed: int) -> list[Outcome]:
-    """Play one policy; return what became of each request."""
+def simulate(name: str, arrivals: list[Arrival], seed: int) -> list[Outcome]:
+    """Simulate one policy; return the outcome of each request."""
     return asyncio.run(Simulation(name, arrivals, seed).run())
 
 
-def _job(job: tuple[str, float, int, pathlib.Path | None]) -> dict[str, Any]:
+def _run_job(job: tuple[str, float, int, pathlib.Path | None]) -> dict[str, Any]:
     events.write_to(lambda kind, fields: None)
     name, load, seed, trace = job
     if trace is not None:
-        return summary(play(name, read_trace(trace), seed))
+        return summary(simulate(name, read_trace(trace), seed))
     arrivals = draw_arrivals(seed, load * capacity_per_s(), DURATION_S)
-    return summary(play(name, arrivals, seed))
+    return summary(simulate(name, arrivals, seed))
 
 
 def compare(
     seeds: int, loads: tuple[float, ...], trace: pathlib.Path | None, jobs: int
 ) -> dict[str, Any]:
-    """Return the table: by load, policy, class and figure the median and spread."""
-    plan = [
+    """Return median, low and high over the seeds by load, policy, class and figure."""
+    cases = [
         (name, load, seed, trace)
         for load in loads
         for name in POLICIES
         for seed in range(1, seeds + 1)
     ]
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        found = dict(zip(plan, pool.map(_job, plan), strict=True))
+        summaries = dict(zip(cases, pool.map(_run_job, cases), strict=True))
     table: dict[str, Any] = {}
     for load in loads:
         for name in POLICIES:
-            runs = [found[name, load, seed, trace] for seed in range(1, seeds + 1)]
-            table.setdefault(str(load), {})[name] = _spread(runs)
+            runs = [summaries[name, load, seed, trace] for seed in range(1, seeds + 1)]
+            table.setdefault(str(load), {})[name] = _aggregate(runs)
     return table
 
 
-def _spread(runs: list[dict[str, Any]]) -> dict[str, Any]:
+def _aggregate(runs: list[dict[str, Any]]) -> dict[str, Any]:
     return {
         group: {
             figure: {
@@ -398,12 +406,12 @@
     """Compare the policies and print the table as JSON.
 
     Args:
-      seeds: how many seeds each load is played with.
-      trace: recorded arrivals to play instead of drawn ones.
-      record: write the arrivals of one seed and load to this file, and end.
+      seeds: number of seeds for each load.
+      trace: file of recorded arrivals to use instead of drawn ones.
+      record: write the arrivals of one seed and load to this file, and exit.
       seed: the seed to record.
       load: the load to record, as a multiple of the capacity.
-      jobs: processes to use.
+      jobs: number of worker processes.
     """
     if record is not None:
         write_trace(record, draw_arrivals(seed, load * capacity_per_s(), DURATION_S))
@@ -419,10 +427,10 @@
         "loads": table,
     }
     print(json.dumps(document, indent=1))
-    for at, policies in table.items():
+    for load_name, policies in table.items():
         for name, groups in policies.items():
             row = {figure: spread["median"] for figure, spread in groups["all"].items()}
-            print(f"{at:>4} {name:<9} {row}", file=sys.stderr)
+            print(f"{load_name:>4} {name:<9} {row}", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/bench/worst_load_arrivals.py
+++ b/bench/worst_load_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals for the bench of worst load: drawn from a seed, or from a recorded trace."""
+"""Arrivals of the overload bench, drawn from a seed or read from a recorded trace."""
 
 from __future__ import annotations
 
@@ -11,27 +11,26 @@
 
 __all__ = ["CLASSES", "Arrival", "RequestClass", "draw_arrivals", "read_trace"]
 
-# Organisations; the first of them send most.
+# Organisations and sessions are drawn with a skew to low numbers.
 ORGANISATIONS = 10
-# Sessions that a class's requests belong to.
 SESSIONS = 40
 
 
 @attrs.frozen
 class RequestClass:
-    """One kind of generation, as the users' sheets describe it.
+    """One class of generations of the users' workload.
 
     Attributes:
       name: its name.
-      share: its share of the arrivals.
+      share: its fraction of the arrivals.
       prompt_tokens: mean length of the prompt.
       output_tokens: mean length of the output.
-      output_spread: sigma of the logarithm of the output's length.
-      target_latency_s: time to the first event that is on time.
+      output_spread: sigma of the logarithm of the output length.
+      target_latency_s: time to the first event up to which a response is on time.
       deadline_s: how long callers wait.
       priority: 0 is the most urgent.
-      worth: what an answer on time is worth.
-      late_worth: what a later answer is worth.
+      worth: value of a response on time.
+      late_worth: value of a late response.
     """
 
     name: str
@@ -57,13 +56,13 @@
     """A caller's request.
 
     Attributes:
-      time_s: when it arrives first, from the start.
+      time_s: its first arrival, from the start.
       kind: name of its class.
       prompt_tokens: length of the prompt.
-      output_tokens: length of the output; nobody knows it before.
-      hint_tokens: the caller's estimate of it.
-      session: names the caller's session.
-      organisation: who sends it.
+      output_tokens: length of the output; hidden from the policies.
+      hint_tokens: the caller's estimate of the output length.
+      session: name of the caller's session.
+      organisation: name of the caller's organisation.
     """
 
     time_s: float
@@ -75,48 +74,54 @@
     organisation: str
 
 
-def class_named(name: str) -> RequestClass:
+def find_class(name: str) -> RequestClass:
     """Return a class by its name."""
     return next(found for found in CLASSES if found.name == name)
 
 
-def draw_arrivals(seed: int, per_s: float, duration_s: float) -> list[Arrival]:
-    """Return arrivals at a mean rate, in clumps that a wave makes denser at times."""
-    source = random.Random(seed)
+def draw_arrivals(seed: int, rate_per_s: float, duration_s: float) -> list[Arrival]:
+    """Return Poisson arrivals whose rate alternates every 5 s: 30 % below, then above.
+
+    Args:
+      seed: seed of all draws.
+      rate_per_s: the mean rate.
+      duration_s: length of the period.
+    """
+    rng = random.Random(seed)
     arrivals: list[Arrival] = []
     now_s = 0.0
     while True:
         wave = 1.0 + 0.3 * (1 if int(now_s / 5.0) % 2 else -1)
-        now_s += source.expovariate(per_s * wave)
+        now_s += rng.expovariate(rate_per_s * wave)
         if now_s >= duration_s:
             return arrivals
-        arrivals.append(_draw(source, now_s))
+        arrivals.append(_draw(rng, now_s))
 
 
-def _draw(source: random.Random, now_s: float) -> Arrival:
-    kind = source.choices(CLASSES, [c.share for c in CLASSES])[0]
-    output = _spread(source, kind.output_tokens, kind.output_spread, 2_400)
-    number = min(source.randrange(SESSIONS), source.randrange(SESSIONS))
-    organisation = min(source.randrange(ORGANISATIONS), source.randrange(ORGANISATIONS))
+def _draw(rng: random.Random, now_s: float) -> Arrival:
+    kind = rng.choices(CLASSES, [c.share for c in CLASSES])[0]
+    output = _draw_length(rng, kind.output_tokens, kind.output_spread, 2_400)
+    number = min(rng.randrange(SESSIONS), rng.randrange(SESSIONS))
+    organisation = min(rng.randrange(ORGANISATIONS), rng.randrange(ORGANISATIONS))
     return Arrival(
         time_s=round(now_s, 3),
         kind=kind.name,
-        prompt_tokens=_spread(source, kind.prompt_tokens, 0.35, 6_000),
+        prompt_tokens=_draw_length(rng, kind.prompt_tokens, 0.35, 6_000),
         output_tokens=output,
-        hint_tokens=_spread(source, output, 0.6, 2_400),
+        hint_tokens=_draw_length(rng, output, 0.6, 2_400),
         session=f"{kind.name}-{number}",
         organisation=f"o{organisation}",
     )
 
 
-def _spread(source: random.Random, mean: int, sigma: float, most: int) -> int:
-    """Return a length with a long tail and this mean."""
-    value = source.lognormvariate(0.0, sigma) / 2.718281828 ** (sigma * sigma / 2)
-    return max(1, min(most, int(mean * value)))
+def _draw_length(rng: random.Random, mean: int, sigma: float, maximum: int) -> int:
+    """Return a log-normal length with this mean, cut at a maximum."""
+    value = rng.lognormvariate(0.0, sigma) / 2.718281828 ** (sigma * sigma / 2)
+    return max(1, min(maximum, int(mean * value)))
 
 
 def read_trace(path: pathlib.Path) -> list[Arrival]:
-    """Return the arrivals of a file that `write_trace` has written."""
+    """Return the arrivals of a file written by `write_trace`."""
     with path.open(newline="") as file:
         return [
             Arrival(
@@ -133,7 +138,7 @@
 
 
 def write_trace(path: pathlib.Path, arrivals: Iterable[Arrival]) -> None:
-    """Record arrivals."""
+    """Write arrivals to a CSV file, one row each, with a header."""
     rows: Sequence[dict[str, object]] = [attrs.asdict(item) for item in arrivals]
     with path.open("w", newline="") as file:
         writer = csv.DictWriter(file, [field.name for field in attrs.fields(Arrival)])
--- a/bench/worst_load_policies.py
+++ b/bench/worst_load_policies.py
@@ -1,7 +1,7 @@
-"""The policies that the bench of worst load compares.
+"""Placement policies of the overload bench.
 
-The previous and the current one are the product's own home of places, fed as the
-control process feeds it; they differ in what they do with engines that leave.
+The previous and the current policy run the product's own placement service with the
+inputs of the control process. They differ in how they handle departing engines.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 import attrs
 
-from bench.worst_load_arrivals import Arrival, class_named
+from bench.worst_load_arrivals import Arrival, find_class
 from bench.worst_load_engines import (
-    COPY_TOKEN_S,
+    COPY_S_PER_TOKEN,
     SERVICE,
     Copy,
     SimEngine,
@@ -35,32 +35,38 @@
 from endivesill.forwarding.targets import TargetTable
 from endivesill.timer import TimerService
 
-__all__ = ["POLICIES", "Fleet", "Grant", "Policy", "Refusal"]
+__all__ = ["POLICIES", "SimFleet", "Grant", "Policy", "Refusal"]
 
-# What the previous version told the callers of most refused requests.
+# Range of the Retry-After that the previous version gave to most refused requests.
 PREVIOUS_RETRY_S = (1.0, 3.0)
-# Notice that an engine has; the users' kinds of trouble say about two seconds.
-NOTICE_S = 1.8
-# How late the list, and a health check, show that an engine leaves.
+# Notice before an engine departs; in the users' incidents about two seconds.
+DEPARTURE_NOTICE_S = 1.8
+# Delay after which the engine list, or a health check, shows the notice.
 LIST_LAG_S = 1.0
-CHECK_LAG_S = 0.25
+HEALTH_CHECK_LAG_S = 0.25
 
 
 @attrs.define
-class Fleet:
-    """The engines that there are, with the time."""
+class SimFleet:
+    """The present engines and the timer of the simulation."""
 
     timer: TimerService
     engines: list[SimEngine] = attrs.Factory(list)
 
-    def named(self, name: str) -> SimEngine | None:
-        """Return an engine that still is there, or None."""
+    def find_engine(self, name: str) -> SimEngine | None:
+        """Return an engine by name; None if it has departed."""
         return next((e for e in self.engines if e.info.identity == name), None)
 
 
 @attrs.frozen
 class Grant:
-    """A place for a run."""
+    """Placement of a run.
+
+    Attributes:
+      engine: the engine to run it.
+      backup: the engine for its backup copy, if any.
+      reserved_tokens: memory reserved for the run.
+    """
 
     engine: SimEngine
     backup: SimEngine | None
@@ -69,82 +75,87 @@
 
 @attrs.frozen
 class Refusal:
-    """No place, and when to come back."""
+    """Refusal of a run, with the time to wait before a retry."""
 
     retry_after_s: float
 
 
 class Policy:
-    """Base of what places runs.
+    """Base class of the placement policies.
 
     Args:
       fleet: the engines.
-      seed: of the policy's own draws.
+      seed: seed of the policy's own draws.
 
     Attributes:
-      notice_lag_s: how late it learns that an engine leaves.
-      moves_at_once: whether runs leave an engine before its end.
+      notice_lag_s: delay after which the policy knows of a departure notice.
+      moves_before_departure: whether runs are moved before their engine departs.
     """
 
     notice_lag_s = LIST_LAG_S
-    moves_at_once = False
+    moves_before_departure = False
 
-    def __init__(self, fleet: Fleet, seed: int) -> None:
+    def __init__(self, fleet: SimFleet, seed: int) -> None:
         self.fleet = fleet
 
     async def place(
-        self, arrival: Arrival, left_s: float, on_time_s: float
+        self, arrival: Arrival, remaining_s: float, latency_remaining_s: float
     ) -> Grant | Refusal:
-        """Return a place or a refusal.
+        """Place a request or refuse it; may wait for capacity.
 
         Args:
           arrival: the request.
-          left_s: how long its caller still waits.
-          on_time_s: how long an answer is still on time.
+          remaining_s: time until the caller's deadline.
+          latency_remaining_s: time until the request's target latency has passed.
         """
         raise NotImplementedError
 
     async def place_copy(self, run: SimRun) -> SimEngine | None:
-        """Return who shall get a copy of a run whose engine leaves."""
+        """Return the engine for a copy of a run whose engine departs, or None."""
         return None
 
     def update(self) -> None:
-        """Take the state of the fleet."""
+        """Update the policy's view of the fleet; called at every tick."""
 
 
 class Baseline(Policy):
-    """Fewest requests first; the engines queue what does not fit."""
+    """Fewest requests first, without admission control; engines queue the excess."""
 
     async def place(
-        self, arrival: Arrival, left_s: float, on_time_s: float
+        self, arrival: Arrival, remaining_s: float, latency_remaining_s: float
     ) -> Grant | Refusal:
         """Return the engine with the fewest requests."""
         now_s = self.fleet.timer.now_s()
-        open_engines = [e for e in self.fleet.engines if _may_have_work(e, now_s)]
-        if not open_engines:
+        accepting_engines = [
+            e for e in self.fleet.engines if _accepts_requests(e, now_s)
+        ]
+        if not accepting_engines:
             return Refusal(1.0)
-        engine = min(open_engines, key=lambda e: len(e.runs) + len(e.queue))
+        engine = min(accepting_engines, key=lambda e: len(e.runs) + len(e.queue))
         return Grant(engine, None, arrival.prompt_tokens)
 
 
-def _may_have_work(engine: SimEngine, now_s: float) -> bool:
-    # The list shows a departure late to everybody.
-    return engine.ends_s is None or now_s < engine.ends_s - NOTICE_S + LIST_LAG_S
+def _accepts_requests(engine: SimEngine, now_s: float) -> bool:
+    # The engine list shows a departure notice with a delay.
+    return (
+        engine.departs_s is None
+        or now_s < engine.departs_s - DEPARTURE_NOTICE_S + LIST_LAG_S
+    )
 
 
-class HomePolicy(Policy):
-    """The product's home of places."""
+class PlacementPolicy(Policy):
+    """The product's placement service."""
 
-    new_queue: type[FairQueue[Any]] = FairQueue
+    queue_class: type[FairQueue[Any]] = FairQueue
 
-    def __init__(self, fleet: Fleet, seed: int) -> None:
+    def __init__(self, fleet: SimFleet, seed: int) -> None:
         super().__init__(fleet, seed)
         self._random = random.Random(seed)
         self._view = FleetView()
         self._loads = FleetLoads()
         self._table = TargetTable(fleet.timer, self._view, "")
-        self._seen = 0
-        self._home = PlacementHome(
+        self._grants_seen = 0
+        self._placement = PlacementHome(
             fleet.timer,
             self._table,
             self._loads,
@@ -152,15 +163,15 @@
             (1.5, 5.0),
             lambda: True,
             self._random,
-            self.new_queue,
+            self.queue_class,
         )
 
     def update(self) -> None:
-        """Give the home what the control process would."""
+        """Update the placement service as the control process does."""
         now_s = self.fleet.timer.now_s()
         self._view.engines = {
             engine.info.incarnation: attrs.evolve(
-                engine.info, is_draining=self._knows_end(engine, now_s)
+                engine.info, is_draining=self._is_departure_known(engine, now_s)
             )
             for engine in self.fleet.engines
         }
@@ -172,14 +183,17 @@
                 used, queued, False, False, now_s
             )
         self._table.update_reports(reports.get, frozenset())
-        self._loads.report("entry", self._rows(), self._seen, now_s)
-        self._home.update()
-
-    def _knows_end(self, engine: SimEngine, now_s: float) -> bool:
-        ends_s = engine.ends_s
-        return ends_s is not None and now_s >= ends_s - NOTICE_S + self.notice_lag_s
+        self._loads.report("entry", self._load_rows(), self._grants_seen, now_s)
+        self._placement.update()
+
+    def _is_departure_known(self, engine: SimEngine, now_s: float) -> bool:
+        departs_s = engine.departs_s
+        return (
+            departs_s is not None
+            and now_s >= departs_s - DEPARTURE_NOTICE_S + self.notice_lag_s
+        )
 
-    def _rows(self) -> dict[str, list[int]]:
+    def _load_rows(self) -> dict[str, list[int]]:
         rows = {e.info.incarnation: [0, 0, 0] for e in self.fleet.engines}
         for engine in self.fleet.engines:
             for run in [*engine.runs, *engine.queue]:
@@ -187,7 +201,7 @@
                 row[0] += 1
                 row[1] += run.reserved_tokens
                 row[2] += run.arrival.prompt_tokens if run.first_event_s is None else 0
-                for holder in _holders(run):
+                for holder in _copy_holders(run):
                     if holder.info.incarnation in rows:
                         rows[holder.info.incarnation][1] += run.reserved_tokens
         return rows
@@ -195,10 +209,10 @@
     def _message(self, arrival: Arrival, reserved: int) -> dict[str, object]:
         return {
             "entry": "entry",
-            "loads": self._rows(),
-            "grants_seen": self._seen,
+            "loads": self._load_rows(),
+            "grants_seen": self._grants_seen,
             "service": SERVICE.name,
-            "priority": class_named(arrival.kind).priority,
+            "priority": find_class(arrival.kind).priority,
             "request_id": arrival.session,
             "session": arrival.session,
             "organisation": arrival.organisation,
@@ -208,38 +222,42 @@
         }
 
     async def place(
-        self, arrival: Arrival, left_s: float, on_time_s: float
+        self, arrival: Arrival, remaining_s: float, latency_remaining_s: float
     ) -> Grant | Refusal:
-        """Ask the home, as an entry does."""
-        kind = class_named(arrival.kind)
-        reserved = need_of(_info_of(arrival), SERVICE).memory_tokens
-        read_s = arrival.prompt_tokens / READ_TOKENS_PER_S
+        """Request a placement, as an entry does."""
+        kind = find_class(arrival.kind)
+        reserved = need_of(_request_info(arrival), SERVICE).memory_tokens
+        prefill_s = arrival.prompt_tokens / READ_TOKENS_PER_S
         reserve_s = RESERVE_SHARE * kind.target_latency_s
-        answer = await self._home.handle(
+        response = await self._placement.handle(
             {
                 **self._message(arrival, reserved),
-                "patience_s": max(0.0, on_time_s - read_s - reserve_s),
-                "return_patience_s": min(RETURN_WAIT_S, RETURN_WAIT_SHARE * left_s),
+                "patience_s": max(0.0, latency_remaining_s - prefill_s - reserve_s),
+                "return_patience_s": min(
+                    RETURN_WAIT_S, RETURN_WAIT_SHARE * remaining_s
+                ),
                 "holder": "",
             }
         )
-        if "refused" in answer:
-            return Refusal(self._retry_after_s(answer["retry_after_s"]))
-        self._seen = max(self._seen, answer["number"])
-        engine = self.fleet.named(answer["target"]["identity"])
+        if "refused" in response:
+            return Refusal(self._retry_after_s(response["retry_after_s"]))
+        self._grants_seen = max(self._grants_seen, response["number"])
+        engine = self.fleet.find_engine(response["target"]["identity"])
         if engine is None:
             return Refusal(1.0)
-        found = answer["backup"]
-        backup = self.fleet.named(found["identity"]) if found else None
+        backup_entry = response["backup"]
+        backup = (
+            self.fleet.find_engine(backup_entry["identity"]) if backup_entry else None
+        )
         return Grant(engine, backup, reserved)
 
-    def _retry_after_s(self, told_s: float) -> float:
-        return told_s
+    def _retry_after_s(self, proposed_s: float) -> float:
+        return proposed_s
 
     async def place_copy(self, run: SimRun) -> SimEngine | None:
-        """Ask the home for a place for a copy."""
+        """Request a placement for a copy."""
         assert run.engine is not None
-        answer = await self._home.handle(
+        response = await self._placement.handle(
             {
                 **self._message(run.arrival, run.reserved_tokens),
                 "patience_s": 0.0,
@@ -247,49 +265,50 @@
                 "holder": run.engine.info.incarnation,
             }
         )
-        if "refused" in answer:
+        if "refused" in response:
             return None
-        self._seen = max(self._seen, answer["number"])
-        return self.fleet.named(answer["target"]["identity"])
+        self._grants_seen = max(self._grants_seen, response["number"])
+        return self.fleet.find_engine(response["target"]["identity"])
 
 
-class _ReturnsFirst(FairQueue[Any]):
-    """The previous order: who comes back, then who came first."""
+class _RefusedFirst(FairQueue[Any]):
+    """The previous queue order: refused callers first, then by arrival."""
 
     def order_of(self, priority: int, flow: Flow, cost: float) -> Order:
-        """Return where a request would stand."""
+        """Return the sort key of a request."""
         return priority, 0.0 if flow.comes_back else 1.0, False
 
 
-class Previous(HomePolicy):
-    """The version before this one.
+class Previous(PlacementPolicy):
+    """The previous version.
 
-    Departures from the list; runs go on elsewhere when their engine ends; who comes
-    back goes first, and is told to come back soon.
+    Learns of departures from the engine list, moves runs when their engine departs,
+    gives retries of refused callers precedence, and asks for retries after a short
+    time.
     """
 
-    new_queue = _ReturnsFirst
+    queue_class = _RefusedFirst
 
-    def _retry_after_s(self, told_s: float) -> float:
+    def _retry_after_s(self, proposed_s: float) -> float:
         return self._random.uniform(*PREVIOUS_RETRY_S)
 
 
-class Current(HomePolicy):
-    """Departures from health checks; runs leave one by one before the end."""
+class Current(PlacementPolicy):
+    """Learns of departures from health checks; moves runs before the departure."""
 
-    notice_lag_s = CHECK_LAG_S
-    moves_at_once = True
+    notice_lag_s = HEALTH_CHECK_LAG_S
+    moves_before_departure = True
 
 
-POLICIES: dict[str, Callable[[Fleet, int], Policy]] = {
+POLICIES: dict[str, Callable[[SimFleet, int], Policy]] = {
     "baseline": Baseline,
     "previous": Previous,
     "current": Current,
 }
 
 
-def _info_of(arrival: Arrival) -> RequestInfo:
-    """Return what a request's head says to the product."""
+def _request_info(arrival: Arrival) -> RequestInfo:
+    """Return the request as the product reads it from the request head."""
     return RequestInfo(
         attempt_id=arrival.session,
         deadline_s=None,
@@ -301,19 +320,23 @@
     )
 
 
-def _holders(run: SimRun) -> list[SimEngine]:
-    """Return the engines that hold a copy of a run."""
-    found = [run.backup] if run.backup is not None else []
-    return [*found, run.copy.destination] if run.copy is not None else found
+def _copy_holders(run: SimRun) -> list[SimEngine]:
+    """Return the engines that hold a backup or copy of a run."""
+    holders = [run.backup] if run.backup is not None else []
+    return [*holders, run.copy.destination] if run.copy is not None else holders
 
 
-def order_copy(run: SimRun, destination: SimEngine, now_s: float) -> Copy:
-    """Copy a run's memory over the links of both engines."""
+def start_copy(run: SimRun, destination: SimEngine, now_s: float) -> Copy:
+    """Start the transfer of a run's memory over the links of both engines.
+
+    The transfer starts when both links are free, and takes twice as long between data
+    centres.
+    """
     source = run.engine
     assert source is not None
-    near = source.info.data_centre == destination.info.data_centre
-    duration_s = run.tokens * COPY_TOKEN_S * (1 if near else 2)
+    is_local = source.info.data_centre == destination.info.data_centre
+    duration_s = run.tokens * COPY_S_PER_TOKEN * (1 if is_local else 2)
     done_s = max(now_s, source.link_free_s, destination.link_free_s) + duration_s
     source.link_free_s = destination.link_free_s = done_s
-    destination.held[run.number] = run.tokens
-    return Copy(destination, done_s, run.made)
+    destination.copy_tokens[run.number] = run.tokens
+    return Copy(destination, done_s, run.generated)
