--- a/bench/membership_trials.py
+++ b/bench/membership_trials.py
@@ -137,7 +137,7 @@
                     times_s.append(self.fleet.timer.now_s()) if told == name else None
                 )
             )
-        teller.leaving_targets.report(name, "boot", 30.0)
+        teller.leaving_targets.apply_load_report(name, "boot", 30.0)
         await self.fleet.timer.advance(REST_S)
         if len(times_s) == len(self.fleet.members):
             self.found.leaving_times_s.append(max(times_s) - started_s)
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -64,7 +64,9 @@
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
         """Take a load report."""
-        self._leaving.report(target.name, report.boot_id, report.leaving_in_s)
+        self._leaving.apply_load_report(
+            target.name, report.boot_id, report.leaving_in_s
+        )
         self._lender.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
--- a/endivesill/membership/__init__.py
+++ b/endivesill/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which VMs are there, and which is the home of a target."""
+"""Fleet membership and the assignment of each target to its home VM."""
 
 from endivesill.membership.datagrams import (
     DatagramTransport,
--- a/endivesill/membership/datagrams.py
+++ b/endivesill/membership/datagrams.py
@@ -1,8 +1,8 @@
-"""Datagrams between VMs: UDP with a shared key, and a sibling in memory.
+"""Authenticated datagrams between VMs: over UDP, or in memory for tests.
 
-A datagram is a truncated HMAC-SHA256 followed by its body. A datagram that was
-recorded and sent again does no harm: what it carries is older than what its
-receivers know, and an acknowledgement answers one sequence number only.
+A datagram is a truncated HMAC-SHA256 followed by its body. Replayed datagrams are
+harmless: the updates that they carry are older than those that the receivers have,
+and an acknowledgement matches a single sequence number.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class DatagramTransport:
-    """Base of the datagram transports.
+    """Base class of the datagram transports.
 
     Args:
-      address: HOST:PORT under which others reach this process.
+      address: HOST:PORT at which other VMs reach this process.
 
     Attributes:
-      sent_datagrams: datagrams sent.
-      sent_bytes: their bytes with those of the UDP and IP headers.
+      sent_datagrams: number of datagrams sent.
+      sent_bytes: bytes sent, including UDP and IP headers.
     """
 
     def __init__(self, address: str) -> None:
@@ -48,11 +48,11 @@
         self.sent_bytes = 0
 
     async def open(self, receiver: Receiver) -> None:
-        """Begin to receive; the receiver gets source address and body."""
+        """Start receiving; the receiver is called with source address and body."""
         self.receiver = receiver
 
     def send(self, address: str, body: bytes) -> None:
-        """Send a datagram; nobody learns whether it arrives."""
+        """Send a datagram without a delivery guarantee."""
         raise NotImplementedError
 
     def close(self) -> None:
@@ -65,11 +65,11 @@
 
 
 class UdpDatagramTransport(DatagramTransport, asyncio.DatagramProtocol):
-    """Datagrams over UDP, on the same HOST:PORT number as the peer port.
+    """Datagrams over UDP, on the same HOST:PORT as the TCP peer port.
 
     Args:
-      address: HOST:PORT; port 0 takes a free one.
-      keys: the shared keys; the first signs, all are accepted.
+      address: HOST:PORT; port 0 binds a free port.
+      keys: the shared keys; the first one signs, all of them verify.
     """
 
     def __init__(self, address: str, keys: Iterable[str]) -> None:
@@ -79,21 +79,21 @@
         self._endpoint: asyncio.DatagramTransport | None = None
 
     def replace_keys(self, keys: Iterable[str]) -> None:
-        """Take other keys, as during a rotation.
+        """Replace the shared keys, as during a key rotation.
 
         Raises:
-          EndivesillError: there is none.
+          EndivesillError: `keys` is empty.
         """
         signers = [hmac.new(key.encode(), digestmod=hashlib.sha256) for key in keys]
         if not signers:
-            raise errors.EndivesillError("datagrams need one key at least")
+            raise errors.EndivesillError("datagrams need at least one key")
         self._signers = signers
 
     async def open(self, receiver: Receiver) -> None:
         """Bind the port.
 
         Raises:
-          OSError: the address cannot be taken.
+          OSError: the address cannot be bound.
         """
         await super().open(receiver)
         host, _, port = self.address.rpartition(":")
@@ -116,7 +116,7 @@
         self._endpoint.sendto(data, (host, int(port)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Check a datagram's key and pass its body on."""
+        """Verify a datagram and pass its body to the receiver."""
         mac, body = data[:MAC_BYTES], data[MAC_BYTES:]
         source = f"{addr[0]}:{addr[1]}"
         valid = [
@@ -131,7 +131,7 @@
             self.receiver(source, body)
 
     def error_received(self, exc: Exception) -> None:
-        """Leave a refused datagram to the probes' timeouts."""
+        """Ignore ICMP errors; probes detect unreachable VMs by timeout."""
 
     def _sign(self, number: int, body: bytes) -> bytes:
         signer = self._signers[number].copy()
@@ -146,12 +146,12 @@
 
 
 class MemoryDatagramTransport(DatagramTransport):
-    """Datagrams over a memory network, which drops, delays and cuts.
+    """Datagrams over a simulated network with loss, delay and partitions.
 
     Args:
-      address: the address; a later transport at the same one replaces this one.
-      network: the network.
-      directory: the transports of the network by address, shared by all.
+      address: HOST:PORT; a later transport at the same address replaces this one.
+      network: the simulated network.
+      directory: all transports of the network by address, shared between them.
     """
 
     def __init__(
@@ -166,13 +166,13 @@
         directory[address] = self
 
     def send(self, address: str, body: bytes) -> None:
-        """Send a datagram through the network."""
+        """Send a datagram over the simulated network."""
         if self.receiver is None:
             return
         self._count(len(body) + MAC_BYTES)
-        asyncio.ensure_future(self._carry(address, body))
+        asyncio.ensure_future(self._deliver(address, body))
 
-    async def _carry(self, address: str, body: bytes) -> None:
+    async def _deliver(self, address: str, body: bytes) -> None:
         if not await self._network.deliver(self.address, address, len(body)):
             return
         peer = self._directory.get(address)
--- a/endivesill/membership/delegates.py
+++ b/endivesill/membership/delegates.py
@@ -1,4 +1,4 @@
-"""Delegates: the few VMs of a data centre that speak with other data centres."""
+"""Delegates: the VMs of a data centre that gossip with other data centres."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 class Delegates:
-    """Finds the delegates of each data centre; all VMs find the same ones.
+    """Selects the delegates of each data centre by rendezvous hashing.
+
+    VMs with the same member table select the same delegates.
 
     Args:
-      table: the VMs.
-      settings: how many there are of a data centre.
+      table: the member table.
+      settings: gives the number of delegates per data centre.
       rng: the source of random choices.
     """
 
@@ -28,15 +30,15 @@
         self._settings = settings
         self._rng = rng
         self._version = -1
-        self._found: dict[str, tuple[VmUpdate, ...]] = {}
+        self._selected: dict[str, tuple[VmUpdate, ...]] = {}
 
-    def of(self, data_centre: str) -> tuple[VmUpdate, ...]:
-        """Return the delegates of a data centre."""
+    def for_data_centre(self, data_centre: str) -> tuple[VmUpdate, ...]:
+        """Return the delegates of a data centre, the highest hash first."""
         if self._version != self._table.version:
             self._version = self._table.version
-            self._found = {}
-        found = self._found.get(data_centre)
-        if found is None:
+            self._selected = {}
+        selected = self._selected.get(data_centre)
+        if selected is None:
             members = [
                 member
                 for member in self._table.all()
@@ -46,32 +48,34 @@
                 key=lambda member: rendezvous_score(data_centre, member.name),
                 reverse=True,
             )
-            found = tuple(members[: self._settings.delegates])
-            self._found[data_centre] = found
-        return found
+            selected = tuple(members[: self._settings.delegates])
+            self._selected[data_centre] = selected
+        return selected
 
-    def includes_own(self) -> bool:
-        """Tell whether this VM is a delegate."""
+    def includes_own_vm(self) -> bool:
+        """Return whether this VM is a delegate of its data centre."""
         own = self._table.own
-        return any(member.name == own.name for member in self.of(own.data_centre))
+        return any(
+            member.name == own.name for member in self.for_data_centre(own.data_centre)
+        )
 
     def other_data_centres(self) -> list[str]:
-        """Return the other data centres with VMs that are not gone."""
+        """Return the other data centres that have VMs that are not gone."""
         others = {member.data_centre for member in self._table.others()}
         return sorted(others - {self._table.own.data_centre})
 
-    def far(self) -> list[VmUpdate]:
-        """Return whom this VM passes news on to: one VM of each other data centre.
+    def remote_peers(self) -> list[VmUpdate]:
+        """Return a random delegate of each other data centre to push updates to.
 
-        A VM that is no delegate passes none on, unless it is leaving and cannot
-        wait for a delegate to hear of it.
+        The list is empty if this VM is not a delegate, unless it is leaving: it
+        cannot wait until a delegate has received the announcement.
         """
         own = self._table.own
-        if own.phase is not Phase.LEAVING and not self.includes_own():
+        if own.phase is not Phase.LEAVING and not self.includes_own_vm():
             return []
         chosen = []
         for data_centre in self.other_data_centres():
-            delegates = self.of(data_centre)
+            delegates = self.for_data_centre(data_centre)
             if delegates:
                 chosen.append(self._rng.choice(delegates))
         return chosen
--- a/endivesill/membership/exchange.py
+++ b/endivesill/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Sending and receiving datagrams: news go along with each of them."""
+"""Sending and receiving datagrams, with updates piggybacked on each of them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from endivesill.membership.datagrams import DatagramTransport
 from endivesill.membership.events import DATAGRAM_REFUSED
 from endivesill.membership.gossip import Gossip
-from endivesill.membership.knowledge import Knowledge
+from endivesill.membership.gossip_state import GossipState
 from endivesill.membership.members import MemberTable
 from endivesill.membership.messages import (
     Datagram,
@@ -19,41 +19,41 @@
     encode_datagram,
 )
 
-__all__ = ["Exchange"]
+__all__ = ["DatagramExchange"]
 
 DatagramHandler = Callable[[Datagram, str], None]
 
 
-class Exchange:
-    """One VM's end of all datagrams.
+class DatagramExchange:
+    """Sends and receives all membership datagrams of this VM.
 
     Args:
-      datagrams: the transport.
-      table: the VMs.
-      knowledge: what received news are merged into.
-      gossip: where news to send come from.
+      datagrams: the datagram transport.
+      table: the member table.
+      gossip_state: the state that received updates are merged into.
+      gossip: the source of the updates to piggyback.
     """
 
     def __init__(
         self,
         datagrams: DatagramTransport,
         table: MemberTable,
-        knowledge: Knowledge,
+        gossip_state: GossipState,
         gossip: Gossip,
     ) -> None:
         self._datagrams = datagrams
         self._table = table
-        self._knowledge = knowledge
+        self._gossip_state = gossip_state
         self._gossip = gossip
         self._handlers: dict[DatagramKind, DatagramHandler] = {}
         self._observers: list[DatagramHandler] = []
-        gossip.attach(self.send_updates)
+        gossip.set_sender(self.send_updates)
 
     async def open(self) -> None:
-        """Begin to receive.
+        """Start receiving.
 
         Raises:
-          OSError: the address cannot be taken.
+          OSError: the address cannot be bound.
         """
         await self._datagrams.open(self._receive)
 
@@ -62,42 +62,45 @@
         self._datagrams.close()
 
     def handle(self, kind: DatagramKind, handler: DatagramHandler) -> None:
-        """Call a handler with each datagram of a kind and its source."""
+        """Register the handler of a kind; it gets each datagram and its source."""
         self._handlers[kind] = handler
 
     def observe(self, observer: DatagramHandler) -> None:
-        """Call an observer with each datagram, after its handler."""
+        """Register an observer of all datagrams; it is called after the handler."""
         self._observers.append(observer)
 
-    def ask(
+    def send_probe(
         self, address: str, kind: DatagramKind, sequence: int, subject: str
     ) -> None:
-        """Send a PING or a PING_REQUEST; a doubted subject is told of the doubt."""
+        """Send a PING or PING_REQUEST, with the suspicion of `subject` if any.
+
+        The subject learns of the suspicion from it and can refute.
+        """
         member = self._table.get(subject)
-        doubt: tuple[Update, ...] = ()
+        suspicion: tuple[Update, ...] = ()
         if member is not None and member.health is not Health.OK:
-            doubt = (member,)
-        self._send(address, kind, sequence, self._table.own_name, subject, doubt)
+            suspicion = (member,)
+        self._send(address, kind, sequence, self._table.own_name, subject, suspicion)
 
-    def acknowledge(
+    def send_ack(
         self,
         address: str,
         sequence: int,
         answering: str,
-        first: tuple[Update, ...] = (),
+        required: tuple[Update, ...] = (),
     ) -> None:
-        """Send an ACK in the name of the VM that has answered.
+        """Send an ACK on behalf of the VM that answered the probe.
 
         Args:
-          address: where to.
-          sequence: what it answers.
-          answering: the VM that has answered.
-          first: updates that must go along.
+          address: the destination.
+          sequence: the sequence number of the probe.
+          answering: the name of the VM that answered.
+          required: updates to send in any case, before the piggybacked ones.
         """
-        self._send(address, DatagramKind.ACK, sequence, answering, "", first)
+        self._send(address, DatagramKind.ACK, sequence, answering, "", required)
 
     def send_updates(self, address: str, updates: tuple[Update, ...]) -> None:
-        """Send nothing but news."""
+        """Send a GOSSIP datagram with these updates only."""
         self._transmit(
             address, DatagramKind.GOSSIP, 0, self._table.own_name, "", updates
         )
@@ -109,9 +112,9 @@
         sequence: int,
         sender: str,
         subject: str,
-        first: tuple[Update, ...] = (),
+        required: tuple[Update, ...] = (),
     ) -> None:
-        updates = first + self._gossip.piggyback()
+        updates = required + self._gossip.piggyback()
         self._transmit(address, kind, sequence, sender, subject, updates)
 
     def _transmit(
@@ -123,7 +126,7 @@
         subject: str,
         updates: tuple[Update, ...],
     ) -> None:
-        digest = self._knowledge.digest()
+        digest = self._gossip_state.digest()
         datagram = Datagram(kind, sequence, sender, subject, digest, updates)
         self._datagrams.send(address, encode_datagram(datagram))
 
@@ -133,7 +136,7 @@
         except errors.PeerMessageError as error:
             events.emit(DATAGRAM_REFUSED, source=source, detail=str(error))
             return
-        self._knowledge.merge(datagram.updates)
+        self._gossip_state.merge(datagram.updates)
         handler = self._handlers.get(datagram.kind)
         if handler is not None:
             handler(datagram, source)
--- a/endivesill/membership/homes.py
+++ b/endivesill/membership/homes.py
@@ -1,9 +1,10 @@
-"""Homes of targets: rendezvous hashing over the live entries.
+"""Assignment of targets to their home VMs by rendezvous hashing.
 
-A target's home is the live entry of its data centre with the highest hash of
-target and VM; where that data centre has none, of its region, then of the fleet.
-Every VM that knows the same fleet finds the same homes. A VM that leaves moves
-only its own targets, one that joins takes only those that it now wins.
+The home of a target is the live entry of the target's data centre with the highest
+hash of target and VM. If that data centre has no live entry, the entries of the
+region are used, then those of the fleet. VMs with the same view of the fleet
+compute the same homes. A VM that leaves moves only its own targets; one that joins
+takes over only those for which it has the highest hash.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 
 def rendezvous_score(key: str, vm_name: str) -> int:
-    """Return the hash by which VMs compete for a key."""
+    """Return the rendezvous hash of a key and a VM; the highest one wins."""
     digest = hashlib.blake2b(f"{key}|{vm_name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 @attrs.frozen
 class LiveEntry:
-    """An entry that may be a home."""
+    """A live VM with the entry role, which can be a home."""
 
     name: str
     data_centre: str
@@ -44,7 +45,7 @@
 
 
 class HomeTable:
-    """The homes of the targets that were asked for, kept over changes.
+    """The homes of targets, cached and updated when the live entries change.
 
     Args:
       timer: the timer service.
@@ -56,72 +57,75 @@
         self._timer = timer
         self._own_name = own_name
         self._region_of = region_of
-        self._scopes: dict[str, frozenset[str]] = {}
+        self._names_by_scope: dict[str, frozenset[str]] = {}
         self._regions: dict[str, str] = {}
         self._homes: dict[tuple[str, str], _Home] = {}
         self._since_s: dict[str, float] = {}
 
     def update(self, entries: Iterable[LiveEntry]) -> list[str]:
-        """Set the live entries and move the homes that must move.
+        """Set the live entries and reassign the cached homes that change.
 
         Returns:
-          The names of the targets that this VM has become the home of.
+          The names of the targets whose home this VM has become.
         """
-        scopes: dict[str, set[str]] = {}
+        names_by_scope: dict[str, set[str]] = {}
         for entry in entries:
             self._regions[entry.data_centre] = entry.region
-            for scope in _scopes(entry.data_centre, entry.region):
-                scopes.setdefault(scope, set()).add(entry.name)
-        old = self._scopes
-        self._scopes = {scope: frozenset(names) for scope, names in scopes.items()}
+            for scope in _scope_keys(entry.data_centre, entry.region):
+                names_by_scope.setdefault(scope, set()).add(entry.name)
+        previous = self._names_by_scope
+        self._names_by_scope = {
+            scope: frozenset(names) for scope, names in names_by_scope.items()
+        }
         changed = {
             scope
-            for scope in self._scopes.keys() | old.keys()
-            if self._scopes.get(scope) != old.get(scope)
+            for scope in self._names_by_scope.keys() | previous.keys()
+            if self._names_by_scope.get(scope) != previous.get(scope)
         }
         if not changed:
             return []
-        taken = []
+        gained = []
         for key, home in list(self._homes.items()):
-            moved = self._move(key, home, old)
-            if moved is not home and self._set(key, moved):
-                taken.append(key[0])
-        return taken
+            reassigned = self._reassign(key, home, previous)
+            if reassigned is not home and self._store_home(key, reassigned):
+                gained.append(key[0])
+        return gained
 
-    def _move(
-        self, key: tuple[str, str], home: _Home, old: dict[str, frozenset[str]]
+    def _reassign(
+        self, key: tuple[str, str], home: _Home, previous: dict[str, frozenset[str]]
     ) -> _Home | None:
         target, data_centre = key
-        scope = self._scope(data_centre)
+        scope = self._scope_of(data_centre)
         if scope is None:
             return None
-        names = self._scopes[scope]
-        before = old.get(scope, frozenset())
+        names = self._names_by_scope[scope]
+        before = previous.get(scope, frozenset())
         if scope == home.scope and names == before:
             return home
         if scope != home.scope or home.vm_name not in names:
-            return self._find(target, scope)
+            return self._compute_home(target, scope)
         for name in names - before:
             score = rendezvous_score(target, name)
             if score > home.score:
                 home = _Home(scope, name, score)
         return home
 
-    def _scope(self, data_centre: str) -> str | None:
+    def _scope_of(self, data_centre: str) -> str | None:
         region = self._region_of(data_centre) or self._regions.get(data_centre, "")
-        for scope in _scopes(data_centre, region):
-            if scope in self._scopes:
+        for scope in _scope_keys(data_centre, region):
+            if scope in self._names_by_scope:
                 return scope
         return None
 
-    def _find(self, target: str, scope: str) -> _Home:
+    def _compute_home(self, target: str, scope: str) -> _Home:
         scores = {
-            name: rendezvous_score(target, name) for name in sorted(self._scopes[scope])
+            name: rendezvous_score(target, name)
+            for name in sorted(self._names_by_scope[scope])
         }
         best = max(scores, key=lambda name: scores[name])
         return _Home(scope, best, scores[best])
 
-    def _set(self, key: tuple[str, str], home: _Home | None) -> bool:
+    def _store_home(self, key: tuple[str, str], home: _Home | None) -> bool:
         if home is None:
             self._homes.pop(key, None)
             self._since_s.pop(key[0], None)
@@ -136,28 +140,31 @@
         return True
 
     def home_name(self, target: Target) -> str | None:
-        """Return the name of a target's home, or None without live entries."""
+        """Return the VM name of a target's home, or None without live entries."""
         key = (target.name, target.data_centre)
         home = self._homes.get(key)
         if home is None:
-            scope = self._scope(target.data_centre)
+            scope = self._scope_of(target.data_centre)
             if scope is None:
                 return None
-            home = self._find(target.name, scope)
-            self._set(key, home)
+            home = self._compute_home(target.name, scope)
+            self._store_home(key, home)
         return home.vm_name
 
     def since_s(self, target: Target) -> float | None:
-        """Return when this VM became the target's home; None if it is not."""
+        """Return when this VM became the target's home, or None if it is not.
+
+        The time is that of the timer, in seconds.
+        """
         if self.home_name(target) != self._own_name:
             return None
         return self._since_s[target.name]
 
-    def restart(self) -> None:
-        """Count all own homes from now, as after a pause of the process."""
+    def reset_since(self) -> None:
+        """Count all homes of this VM as acquired now, as after a process pause."""
         now_s = self._timer.now_s()
         self._since_s = dict.fromkeys(self._since_s, now_s)
 
 
-def _scopes(data_centre: str, region: str) -> tuple[str, str, str]:
+def _scope_keys(data_centre: str, region: str) -> tuple[str, str, str]:
     return f"data-centre/{data_centre}", f"region/{region}", "fleet"
--- a/endivesill/membership/identity.py
+++ b/endivesill/membership/identity.py
@@ -1,4 +1,4 @@
-"""What this VM says of itself: announcements, refutations, a name that is taken."""
+"""The own state of a VM: announcements, refutations and name conflicts."""
 
 from __future__ import annotations
 
@@ -18,60 +18,69 @@
     """The only writer of this VM's own state.
 
     Args:
-      table: the VMs.
-      tell: spreads an update.
-      doubted: called when others suspected this VM or took it for gone.
+      table: the member table.
+      broadcast: disseminates an update.
+      on_suspected: called when other VMs report this one as suspect or gone.
 
     Attributes:
-      superseded: whether another process runs under this VM's name.
+      superseded: whether another process uses this VM's name.
     """
 
     def __init__(
         self,
         table: MemberTable,
-        tell: Callable[[Update], None],
-        doubted: Callable[[], None],
+        broadcast: Callable[[Update], None],
+        on_suspected: Callable[[], None],
     ) -> None:
         self._table = table
-        self._tell = tell
-        self._doubted = doubted
+        self._broadcast = broadcast
+        self._on_suspected = on_suspected
         self._own = table.own
         self.superseded = False
 
     @property
     def phase(self) -> Phase:
-        """What this process last said of itself."""
+        """The phase that this process announced last."""
         return self._own.phase
 
     def announce(self, phase: Phase) -> None:
-        """Say something new of this VM."""
+        """Broadcast a later phase of this VM; an earlier or equal one is ignored."""
         if phase > self._own.phase:
-            self._set(attrs.evolve(self._own, phase=phase), self._own.incarnation + 1)
+            self._set_own(
+                attrs.evolve(self._own, phase=phase), self._own.incarnation + 1
+            )
 
     def depart(self) -> None:
-        """Say that this VM has left."""
+        """Broadcast that this VM has left."""
         self.announce(Phase.LEAVING)
         self._own = attrs.evolve(self._own, health=Health.GONE)
         self._publish()
 
-    def hear(self, update: VmUpdate) -> None:
-        """Answer what others say of this VM, if it is not what it says itself."""
+    def handle_update(self, update: VmUpdate) -> None:
+        """Handle an update of this VM from others: refute it or yield the name.
+
+        The VM yields its name to another healthy process unless it is still joining.
+        """
         if self.superseded:
-            self._hear_superseded(update)
+            self._handle_update_while_superseded(update)
             return
         own = self._own
         if own.health is Health.GONE or update.rank() <= own.rank():
             return
-        is_other = update.instance_id != own.instance_id
-        if is_other and own.phase is not Phase.JOINING and update.health is Health.OK:
+        is_other_process = update.instance_id != own.instance_id
+        if (
+            is_other_process
+            and own.phase is not Phase.JOINING
+            and update.health is Health.OK
+        ):
             self.superseded = True
             events.emit(NAME_SUPERSEDED, vm=update.name, instance_id=update.instance_id)
             self._table.set_own(update)
             return
         self._refute(update)
 
-    def _hear_superseded(self, update: VmUpdate) -> None:
-        """Follow the other process; take the name back once that one is gone."""
+    def _handle_update_while_superseded(self, update: VmUpdate) -> None:
+        """Track the other process; reclaim the name once that process is gone."""
         if update.rank() <= self._table.own.rank():
             return
         if update.health is Health.GONE:
@@ -82,14 +91,14 @@
 
     def _refute(self, update: VmUpdate) -> None:
         events.emit(SELF_REFUTED, vm=update.name, instance_id=update.instance_id)
-        self._doubted()
-        self._set(self._own, update.incarnation + 1)
+        self._on_suspected()
+        self._set_own(self._own, update.incarnation + 1)
 
-    def _set(self, own: VmUpdate, incarnation: int) -> None:
+    def _set_own(self, own: VmUpdate, incarnation: int) -> None:
         self._own = attrs.evolve(own, incarnation=incarnation)
         self._publish()
 
     def _publish(self) -> None:
         if not self.superseded:
             self._table.set_own(self._own)
-            self._tell(self._own)
+            self._broadcast(self._own)
--- a/endivesill/membership/joining.py
+++ b/endivesill/membership/joining.py
@@ -1,7 +1,7 @@
-"""Joining the fleet and bringing two views together.
+"""Joining the fleet and anti-entropy between two VMs.
 
-A sync exchanges all that two VMs know. It is used to join, when an unknown VM is
-met, and when digests differ although nothing has changed for a while.
+A sync exchanges the whole state of two VMs. It is used to join, when a datagram of
+an unknown VM arrives, and when digests still differ after a quiet period.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from endivesill import errors, events
 from endivesill.membership.events import JOINED, JOINED_ALONE
+from endivesill.membership.gossip_state import GossipState
 from endivesill.membership.identity import OwnState
-from endivesill.membership.knowledge import Knowledge
 from endivesill.membership.members import MemberTable
 from endivesill.membership.messages import Phase, decode_update, encode_update
 from endivesill.membership.settings import MembershipSettings
@@ -24,21 +24,21 @@
 
 SYNC_PATH = "/membership/sync"
 SYNC_TIMEOUT_S = 2.0
-SYNC_PAUSE_S = 2.0
-SETTLED_S = 1.0
+SYNC_INTERVAL_S = 2.0
+QUIET_PERIOD_S = 1.0
 JOIN_RETRY_S = 0.5
 
 
 class Synchronizer:
-    """Exchanges whole views with single VMs.
+    """Exchanges the whole state with one other VM at a time.
 
     Args:
       timer: the timer service.
-      table: the VMs.
-      settings: periods and bounds.
+      table: the member table.
+      settings: the membership settings.
       rng: the source of random choices.
       peers: the transport of the peer port.
-      knowledge: all that this VM knows.
+      gossip_state: the state that is exchanged.
       own: this VM's own state.
     """
 
@@ -49,7 +49,7 @@
         settings: MembershipSettings,
         rng: random.Random,
         peers: PeerTransport,
-        knowledge: Knowledge,
+        gossip_state: GossipState,
         own: OwnState,
     ) -> None:
         self._timer = timer
@@ -57,75 +57,76 @@
         self._settings = settings
         self._rng = rng
         self._peers = peers
-        self._knowledge = knowledge
+        self._gossip_state = gossip_state
         self._own = own
-        self._running = False
-        self._last_s = float("-inf")
-        peers.handle(SYNC_PATH, self._answer)
+        self._is_syncing = False
+        self._last_sync_s = float("-inf")
+        peers.handle(SYNC_PATH, self._handle_sync)
 
-    def _message(self) -> Message:
+    def _state_message(self) -> Message:
         rows = [
-            encode_update(update, full=True) for update in self._knowledge.updates()
+            encode_update(update, full=True) for update in self._gossip_state.updates()
         ]
         return {"updates": rows}
 
-    def _read(self, message: Message) -> None:
+    def _merge_message(self, message: Message) -> None:
         rows = message.get("updates")
         if not isinstance(rows, list):
-            raise errors.PeerMessageError("a sync without updates")
-        self._knowledge.merge_view([decode_update(row) for row in rows])
+            raise errors.PeerMessageError("sync message without updates")
+        self._gossip_state.merge_remote_state([decode_update(row) for row in rows])
 
-    async def _answer(self, message: Message) -> Message:
-        """Answer another VM's sync with what was known before it."""
-        answer = self._message()
-        self._read(message)
+    async def _handle_sync(self, message: Message) -> Message:
+        """Answer a sync with the state before the received one is merged."""
+        answer = self._state_message()
+        self._merge_message(message)
         return answer
 
     async def sync(self, address: str) -> bool:
-        """Exchange views with the VM at an address; return whether it worked."""
+        """Exchange states with the VM at an address; return whether it succeeded."""
         try:
             answer = await self._peers.call(
-                address, SYNC_PATH, self._message(), SYNC_TIMEOUT_S
+                address, SYNC_PATH, self._state_message(), SYNC_TIMEOUT_S
             )
-            self._read(answer)
+            self._merge_message(answer)
         except (errors.PeerUnreachableError, errors.PeerMessageError):
             return False
         return True
 
-    async def sync_soon(self, address: str, *, unknown: bool = False) -> None:
-        """Exchange views if it is due.
+    async def sync_if_due(self, address: str, *, is_unknown: bool = False) -> None:
+        """Exchange states, unless a sync is running or the last one is too recent.
 
         Args:
-          address: the other VM.
-          unknown: it is not in the table, so it does not wait for quiet.
+          address: the peer address of the other VM.
+          is_unknown: the VM is not in the table; the sync then does not wait for
+            the quiet period.
         """
         now_s = self._timer.now_s()
         quiet_s = now_s - self._table.changed_s
-        pause_s = SYNC_PAUSE_S * self._rng.uniform(0.5, 1.5)
-        if self._running or now_s - self._last_s < (
-            JOIN_RETRY_S if unknown else pause_s
+        interval_s = SYNC_INTERVAL_S * self._rng.uniform(0.5, 1.5)
+        if self._is_syncing or now_s - self._last_sync_s < (
+            JOIN_RETRY_S if is_unknown else interval_s
         ):
             return
-        if not unknown and quiet_s < SETTLED_S:
+        if not is_unknown and quiet_s < QUIET_PERIOD_S:
             return
-        self._running = True
+        self._is_syncing = True
         try:
             await self.sync(address)
         finally:
-            self._running = False
-            self._last_s = self._timer.now_s()
+            self._is_syncing = False
+            self._last_sync_s = self._timer.now_s()
 
     async def join(self, addresses: Callable[[], list[str]]) -> None:
-        """Join by any VM that answers; go on alone after a while.
+        """Join through any VM that answers; continue alone after `join_alone_s`.
 
         Args:
-          addresses: returns the addresses to try; it may grow.
+          addresses: returns the addresses to try; called again for each attempt.
         """
         deadline_s = self._timer.now_s() + self._settings.join_alone_s
         while addresses():
-            tries = addresses()
-            self._rng.shuffle(tries)
-            if await self.sync_any(tries) or self._table.others():
+            candidates = addresses()
+            self._rng.shuffle(candidates)
+            if await self.sync_any(candidates) or self._table.others():
                 events.emit(JOINED, vm=self._table.own_name)
                 break
             if self._timer.now_s() >= deadline_s:
@@ -135,7 +136,7 @@
         self._own.announce(Phase.ALIVE)
 
     async def sync_any(self, addresses: list[str]) -> bool:
-        """Exchange views with the first VM that answers; return whether one did."""
+        """Sync with all addresses until one answers; return whether one did."""
         tasks = [asyncio.ensure_future(self.sync(address)) for address in addresses]
         try:
             for done in asyncio.as_completed(tasks):
--- a/endivesill/membership/members.py
+++ b/endivesill/membership/members.py
@@ -1,4 +1,4 @@
-"""The table of the fleet's VMs: which update of a VM is the newest."""
+"""The member table: the newest update of each VM of the fleet."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class MemberTable:
-    """All VMs that are known, by name, each at its newest update.
+    """The newest update of every known VM, by name.
 
     Args:
       timer: the timer service.
-      own: this VM's first update.
+      own: this VM's initial update.
 
     Attributes:
-      version: raised with each change.
+      version: incremented with each change.
       digest: checksum of all VMs that are not gone.
-      changed_s: when the last change was made.
+      changed_s: time of the last change, on the timer's clock.
     """
 
     def __init__(self, timer: TimerService, own: VmUpdate) -> None:
@@ -36,7 +36,7 @@
         self._derived_version = -1
         self._records: tuple[VmRecord, ...] = ()
         self._others: list[VmUpdate] = []
-        self._peers: list[VmUpdate] = []
+        self._local_peers: list[VmUpdate] = []
         self.own_name = own.name
         self.version = 0
         self.digest = own.checksum()
@@ -44,11 +44,11 @@
 
     @property
     def own(self) -> VmUpdate:
-        """The state of this VM itself."""
+        """The newest update of this VM."""
         return self._members[self.own_name]
 
     def subscribe(self, listener: Listener) -> None:
-        """Call a listener with the old and the new update of each change."""
+        """Call a listener with the old and new update after each change."""
         self._listeners.append(listener)
 
     def get(self, name: str) -> VmUpdate | None:
@@ -60,17 +60,17 @@
         return list(self._members.values())
 
     def others(self) -> list[VmUpdate]:
-        """Return all VMs but this one that are not gone."""
-        self._derive()
+        """Return all other VMs that are not gone."""
+        self._refresh_derived()
         return list(self._others)
 
-    def peers(self) -> list[VmUpdate]:
-        """Return the others of this VM's data centre."""
-        self._derive()
-        return list(self._peers)
+    def local_peers(self) -> list[VmUpdate]:
+        """Return the other VMs of this data centre that are not gone."""
+        self._refresh_derived()
+        return list(self._local_peers)
 
-    def gone(self) -> list[VmUpdate]:
-        """Return the VMs that are gone without having left."""
+    def failed(self) -> list[VmUpdate]:
+        """Return the VMs that are gone without having announced that they leave."""
         return [
             member
             for member in self._members.values()
@@ -78,12 +78,12 @@
         ]
 
     def records(self) -> tuple[VmRecord, ...]:
-        """Return what other services see, ordered by name."""
-        self._derive()
+        """Return the records of all VMs, ordered by name."""
+        self._refresh_derived()
         return self._records
 
-    def _derive(self) -> None:
-        """Work out, once a version, what is asked for often."""
+    def _refresh_derived(self) -> None:
+        """Recompute the cached lists if the table has changed."""
         if self._derived_version == self.version:
             return
         self._derived_version = self.version
@@ -95,13 +95,16 @@
             for member in ordered
             if member.health is not Health.GONE and member.name != self.own_name
         ]
-        self._peers = [m for m in self._others if m.data_centre == data_centre]
+        self._local_peers = [m for m in self._others if m.data_centre == data_centre]
 
     def merge(self, update: VmUpdate) -> VmUpdate | None:
-        """Take an update of another VM if it is newer than what is known.
+        """Store an update of another VM if it is newer than the known one.
+
+        An update in the short form is completed from the known one of the same
+        instance, and dropped if there is none.
 
         Returns:
-          The update in full if it was taken, or None.
+          The complete update if it was stored, or None.
         """
         known = self._members.get(update.name)
         if known is not None and update.rank() <= known.rank():
@@ -115,14 +118,14 @@
                 phase=update.phase,
                 health=update.health,
             )
-        self._set(known, update)
+        self._store(known, update)
         return update
 
     def set_own(self, update: VmUpdate) -> None:
-        """Set this VM's own state."""
-        self._set(self.own, update)
+        """Replace the update of this VM."""
+        self._store(self.own, update)
 
-    def _set(self, known: VmUpdate | None, update: VmUpdate) -> None:
+    def _store(self, known: VmUpdate | None, update: VmUpdate) -> None:
         self._members[update.name] = update
         self.digest ^= update.checksum() ^ (known.checksum() if known else 0)
         self.version += 1
@@ -133,11 +136,11 @@
         for listener in self._listeners:
             listener(known, update)
 
-    def forget_gone(self, kept_s: float) -> None:
-        """Drop VMs that have been gone for longer than that."""
-        before_s = self._timer.now_s() - kept_s
+    def prune_gone(self, retention_s: float) -> None:
+        """Delete VMs that have been gone for longer than `retention_s`."""
+        cutoff_s = self._timer.now_s() - retention_s
         for name, since_s in list(self._gone_since_s.items()):
-            if since_s < before_s:
+            if since_s < cutoff_s:
                 del self._gone_since_s[name]
                 del self._members[name]
                 self.version += 1
--- a/endivesill/membership/messages.py
+++ b/endivesill/membership/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the VMs' membership services, and their JSON on the wire.
+"""Messages between the membership services and their JSON encoding.
 
-A datagram is a JSON list, so that no field names are sent. A VM's state goes in
-full while it is well, and without its places when it is suspect or gone: whoever
-hears that knows the VM already.
+A datagram is a JSON list without field names, to keep it small. The update of a
+healthy VM is sent in full. That of a suspect or gone VM is sent without address,
+data centre, region and roles, which the receivers already have.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Phase(enum.IntEnum):
-    """What a VM says of itself."""
+    """The phase that a VM announces of itself."""
 
     JOINING = 0
     ALIVE = 1
@@ -46,7 +46,7 @@
 
 
 class Health(enum.IntEnum):
-    """What other VMs have found."""
+    """The health of a VM as detected by other VMs."""
 
     OK = 0
     SUSPECT = 1
@@ -68,14 +68,14 @@
 
     Attributes:
       name: the VM's name.
-      instance_id: the process's own id.
-      incarnation: raised by the VM itself, to announce or to refute.
-      phase: what the VM says of itself.
-      health: what others have found at this incarnation.
-      address: its peer address; empty in the short form.
-      data_centre: its data centre.
-      region: its region.
-      roles: its roles.
+      instance_id: the id of the VM's process.
+      incarnation: incremented by the VM itself to announce a phase or to refute.
+      phase: the phase that the VM announces.
+      health: its health at this incarnation, as detected by other VMs.
+      address: its peer address as HOST:PORT; empty in the short form.
+      data_centre: its data centre; empty in the short form.
+      region: its region; empty in the short form.
+      roles: its roles; empty in the short form.
     """
 
     name: str
@@ -89,15 +89,15 @@
     roles: tuple[str, ...] = ()
 
     def rank(self) -> tuple[int, int, str]:
-        """Return what decides between two updates of one name: the higher wins."""
+        """Return the precedence among updates of one VM; the highest one wins."""
         return self.incarnation, int(self.health), self.instance_id
 
     def key(self) -> str:
-        """Return the key under which a newer update replaces this one."""
+        """Return the key that all updates of this VM share."""
         return f"v/{self.name}"
 
     def checksum(self) -> int:
-        """Return what this update adds to the digest; nothing if it is gone."""
+        """Return the contribution to the state digest; 0 for a gone VM."""
         if self.health is Health.GONE:
             return 0
         return _checksum(
@@ -105,11 +105,11 @@
         )
 
     def is_live(self) -> bool:
-        """Tell whether the VM may hold homes: alive or not yet given up."""
+        """Return whether the VM can be a home: in phase ALIVE and not gone."""
         return self.phase is Phase.ALIVE and self.health is not Health.GONE
 
     def record(self) -> VmRecord:
-        """Return what other services see."""
+        """Return the record that other services use."""
         state = _PHASE_STATES[self.phase]
         if self.health is Health.SUSPECT:
             state = VmState.SUSPECT
@@ -128,14 +128,14 @@
 
 @attrs.frozen
 class TargetNotice:
-    """What is known of a target's own word that it leaves.
+    """Whether a target is leaving, according to its load reports.
 
     Attributes:
       target: the target's name.
-      sequence: raised with each boot of the target that was seen.
-      boot_id: the boot that the notice is of.
-      leaving: whether that boot leaves.
-      notice_s: seconds until it goes, when this was sent; None if not known.
+      sequence: incremented with each new boot of the target.
+      boot_id: the boot that the notice applies to.
+      leaving: whether that boot is leaving.
+      notice_s: seconds from sending until the departure; None if not known.
     """
 
     target: str
@@ -145,15 +145,15 @@
     notice_s: float | None = None
 
     def rank(self) -> tuple[int, str, bool]:
-        """Return what decides between two notices of one target."""
+        """Return the precedence among notices of one target; the highest wins."""
         return self.sequence, self.boot_id, self.leaving
 
     def key(self) -> str:
-        """Return the key under which a newer notice replaces this one."""
+        """Return the key that all notices of this target share."""
         return f"t/{self.target}"
 
     def checksum(self) -> int:
-        """Return what this notice adds to the digest."""
+        """Return the contribution to the state digest."""
         return _checksum("t", self.target, self.sequence, self.boot_id, self.leaving)
 
 
@@ -163,8 +163,8 @@
 class DatagramKind(enum.Enum):
     """The kinds of datagrams.
 
-    PING asks `subject` for an ACK; PING_REQUEST asks a third VM to ping
-    `subject`; GOSSIP only carries updates.
+    PING asks `subject` for an ACK. PING_REQUEST asks the receiver to ping `subject`
+    and pass its ACK back. GOSSIP only carries updates.
     """
 
     PING = "p"
@@ -178,12 +178,12 @@
     """One datagram.
 
     Attributes:
-      kind: what it is for.
-      sequence: joins an ACK to what it answers.
-      sender: name of the VM that sent it; of an ACK, the VM that is well.
-      subject: name of the VM that is to answer, or the empty string.
-      digest: checksum of all that the sender knows.
-      updates: news that travel with it.
+      kind: its kind.
+      sequence: number that matches an ACK to its PING or PING_REQUEST.
+      sender: name of the sending VM; for an ACK, of the VM that answered the probe.
+      subject: name of the probed VM, or the empty string.
+      digest: checksum of the sender's gossip state.
+      updates: the piggybacked updates.
     """
 
     kind: DatagramKind
@@ -195,7 +195,8 @@
 
 
 def _checksum(*parts: Any) -> int:
-    # A CRC is linear: equal changes of two VMs would cancel out in the digest.
+    # Not a CRC: it is linear, so that equal changes of two VMs would cancel out when
+    # their checksums are combined by XOR.
     text = "|".join(str(part) for part in parts)
     digest = hashlib.blake2b(text.encode(), digest_size=CHECKSUM_BYTES).digest()
     return int.from_bytes(digest, "big")
@@ -206,7 +207,8 @@
 
     Args:
       update: the update.
-      full: with the VM's places, whatever its health.
+      full: whether to include address, data centre, region and roles of a VM that
+        is suspect or gone too.
     """
     if isinstance(update, TargetNotice):
         row = [update.target, update.sequence, update.boot_id, int(update.leaving)]
@@ -222,10 +224,10 @@
 
 
 def decode_update(row: list[Any]) -> Update:
-    """Return the update of a JSON list.
+    """Return the update encoded by a JSON list.
 
     Raises:
-      PeerMessageError: it is no update.
+      PeerMessageError: the list is not a valid update.
     """
     try:
         if row[0] == "t":
@@ -247,11 +249,11 @@
             tuple(_LETTER_ROLES[letter] for letter in letters),
         )
     except (IndexError, KeyError, TypeError, ValueError) as error:
-        raise errors.PeerMessageError(f"no update: {error!r}") from None
+        raise errors.PeerMessageError(f"invalid update: {error!r}") from None
 
 
 def encode_datagram(datagram: Datagram) -> bytes:
-    """Return a datagram's JSON."""
+    """Return a datagram as UTF-8 encoded JSON."""
     row: list[Any] = [
         datagram.kind.value,
         datagram.sequence,
@@ -264,10 +266,10 @@
 
 
 def decode_datagram(data: bytes) -> Datagram:
-    """Return the datagram of its JSON.
+    """Return the datagram encoded by JSON.
 
     Raises:
-      PeerMessageError: it is no datagram.
+      PeerMessageError: the data are not a valid datagram.
     """
     try:
         kind, sequence, sender, subject, digest, *updates = json.loads(data)
@@ -280,4 +282,4 @@
             tuple(decode_update(row) for row in updates),
         )
     except (TypeError, ValueError) as error:
-        raise errors.PeerMessageError(f"no datagram: {error!r}") from None
+        raise errors.PeerMessageError(f"invalid datagram: {error!r}") from None
--- a/endivesill/membership/probes.py
+++ b/endivesill/membership/probes.py
@@ -1,8 +1,9 @@
-"""Failure detection: direct probes, indirect probes, suspicion.
+"""SWIM failure detection: direct probes, indirect probes, suspicion.
 
-Each VM probes the VMs of its data centre one after the other in a random order
-that is drawn anew after each round (SWIM). Delegates probe the delegates of other
-data centres in the same way, which is also how digests cross.
+Each VM probes the VMs of its data centre one after the other, in a random order
+that is reshuffled after each round. Delegates probe the delegates of other data
+centres in the same way; these probes also exchange state digests between data
+centres.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from endivesill import errors, events
 from endivesill.membership.delegates import Delegates
 from endivesill.membership.events import DATA_CENTRE_SILENT
-from endivesill.membership.exchange import Exchange
+from endivesill.membership.exchange import DatagramExchange
 from endivesill.membership.members import MemberTable
 from endivesill.membership.messages import Datagram, DatagramKind, Health, VmUpdate
 from endivesill.membership.settings import MembershipSettings
@@ -23,9 +24,13 @@
 
 __all__ = ["Prober"]
 
-RELAY_SHARE = 0.5
-TRIES_PER_DATA_CENTRE = 3
-OVERRUN_S = 0.2
+# Share of the helpers that are chosen from the data centre of a remote VM; the
+# others probe it from other data centres.
+NEAR_HELPER_SHARE = 0.5
+MAX_PROBES_PER_DATA_CENTRE = 3
+# A probe that overruns its timeouts by more than this was delayed by a pause of this
+# process, so that it says nothing about the probed VM.
+OVERRUN_TOLERANCE_S = 0.2
 
 
 class Prober:
@@ -33,8 +38,8 @@
 
     Args:
       timer: the timer service.
-      table: the VMs.
-      settings: periods and bounds.
+      table: the member table.
+      settings: the probe periods and timeouts.
       rng: the source of random choices.
       exchange: sends and receives the datagrams.
       delegates: the delegates of the data centres.
@@ -47,7 +52,7 @@
         table: MemberTable,
         settings: MembershipSettings,
         rng: random.Random,
-        exchange: Exchange,
+        exchange: DatagramExchange,
         delegates: Delegates,
         suspect: Callable[[VmUpdate], None],
     ) -> None:
@@ -59,31 +64,31 @@
         self._delegates = delegates
         self._suspect = suspect
         self._sequences = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[str]] = {}
-        self._round: Iterator[str] = iter(())
-        self._data_centres: Iterator[str] = iter(())
-        exchange.handle(DatagramKind.ACK, self._acknowledged)
-
-    def _acknowledged(self, datagram: Datagram, source: str) -> None:
-        """Take an acknowledgement."""
-        future = self._waiting.get(datagram.sequence)
+        self._pending_acks: dict[int, asyncio.Future[str]] = {}
+        self._peer_order: Iterator[str] = iter(())
+        self._data_centre_order: Iterator[str] = iter(())
+        exchange.handle(DatagramKind.ACK, self._on_ack)
+
+    def _on_ack(self, datagram: Datagram, source: str) -> None:
+        """Complete the probe that an acknowledgement answers."""
+        future = self._pending_acks.get(datagram.sequence)
         if future is not None and not future.done():
             future.set_result(datagram.sender)
 
     async def probe_peers(self) -> None:
-        """Probe the VMs of the own data centre for ever."""
+        """Probe the VMs of this data centre in turn, without end."""
         period_s = self._settings.probe_period_s
         timeout_s = self._settings.probe_timeout_s
         while True:
             started_s = self._timer.now_s()
             member = self._next_peer()
             if member is not None and not await self._probe(member, timeout_s):
-                self._suspect_unless_slow(member, started_s)
-            spent_s = self._timer.now_s() - started_s
-            await self._timer.sleep(max(period_s / 10, period_s - spent_s))
+                self._suspect_unless_paused(member, started_s)
+            elapsed_s = self._timer.now_s() - started_s
+            await self._timer.sleep(max(period_s / 10, period_s - elapsed_s))
 
     async def probe_data_centres(self) -> None:
-        """Exchange digests with other data centres for ever, as a delegate."""
+        """Probe the other data centres in turn without end, while a delegate."""
         period_s = self._settings.digest_period_s
         while True:
             await self._timer.sleep(period_s * self._rng.uniform(0.9, 1.1))
@@ -92,38 +97,40 @@
                 await self._probe_data_centre(data_centre)
 
     def _next_peer(self) -> VmUpdate | None:
-        peers = {member.name: member for member in self._table.peers()}
+        peers = {member.name: member for member in self._table.local_peers()}
         for _ in range(2):
-            for name in self._round:
+            for name in self._peer_order:
                 if name in peers:
                     return peers[name]
             names = sorted(peers)
             self._rng.shuffle(names)
-            self._round = iter(names)
+            self._peer_order = iter(names)
         return None
 
     def _next_data_centre(self) -> str | None:
-        if not self._delegates.includes_own():
+        if not self._delegates.includes_own_vm():
             return None
         names = self._delegates.other_data_centres()
         for _ in range(2):
-            for data_centre in self._data_centres:
+            for data_centre in self._data_centre_order:
                 if data_centre in names:
                     return data_centre
             self._rng.shuffle(names)
-            self._data_centres = iter(names)
+            self._data_centre_order = iter(names)
         return None
 
     async def _probe_data_centre(self, data_centre: str) -> None:
         members = [m for m in self._table.others() if m.data_centre == data_centre]
-        delegates = list(self._delegates.of(data_centre))
+        delegates = list(self._delegates.for_data_centre(data_centre))
         self._rng.shuffle(delegates)
-        rest = [member for member in members if member not in delegates]
-        self._rng.shuffle(rest)
-        tries = (delegates[:2] + rest + delegates[2:])[:TRIES_PER_DATA_CENTRE]
+        non_delegates = [member for member in members if member not in delegates]
+        self._rng.shuffle(non_delegates)
+        probed = (delegates[:2] + non_delegates + delegates[2:])[
+            :MAX_PROBES_PER_DATA_CENTRE
+        ]
         silent = []
         started_s = self._timer.now_s()
-        for member in tries:
+        for member in probed:
             if await self._probe(member, self._settings.digest_timeout_s):
                 break
             silent.append(member)
@@ -132,39 +139,47 @@
             if members:
                 events.emit(DATA_CENTRE_SILENT, data_centre=data_centre)
         for member in silent:
-            self._suspect_unless_slow(member, started_s, len(tries))
+            self._suspect_unless_paused(member, started_s, len(probed))
 
-    def _suspect_unless_slow(
+    def _suspect_unless_paused(
         self, member: VmUpdate, started_s: float, probes: int = 1
     ) -> None:
-        """Suspect a VM, unless it was this process that stood still."""
+        """Suspect a VM, unless this process was paused during the probes.
+
+        Args:
+          member: the VM that did not answer.
+          started_s: start of the first probe, on the timer's clock.
+          probes: the number of probes sent one after the other since then.
+        """
         timeout_s = max(self._settings.probe_timeout_s, self._settings.digest_timeout_s)
-        expected_s = probes * 3 * timeout_s + OVERRUN_S
+        expected_s = probes * 3 * timeout_s + OVERRUN_TOLERANCE_S
         if self._timer.now_s() - started_s <= expected_s:
             self._suspect(member)
-            self._exchange.ask(member.address, DatagramKind.PING, 0, member.name)
+            self._exchange.send_probe(member.address, DatagramKind.PING, 0, member.name)
 
     async def _probe(self, member: VmUpdate, timeout_s: float) -> bool:
-        """Probe one VM directly, then through helpers; tell whether it answered."""
+        """Probe a VM directly, then through helpers; return whether it answered."""
         sequence = next(self._sequences)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[sequence] = future
+        self._pending_acks[sequence] = future
         try:
-            self._exchange.ask(member.address, DatagramKind.PING, sequence, member.name)
-            if await self._answered(future, member, timeout_s):
+            self._exchange.send_probe(
+                member.address, DatagramKind.PING, sequence, member.name
+            )
+            if await self._wait_for_ack(future, member, timeout_s):
                 return True
             for helper in self._helpers(member):
-                self._exchange.ask(
+                self._exchange.send_probe(
                     helper.address, DatagramKind.PING_REQUEST, sequence, member.name
                 )
-            return await self._answered(future, member, 2 * timeout_s)
+            return await self._wait_for_ack(future, member, 2 * timeout_s)
         finally:
-            del self._waiting[sequence]
+            del self._pending_acks[sequence]
 
-    async def _answered(
+    async def _wait_for_ack(
         self, future: asyncio.Future[str], member: VmUpdate, timeout_s: float
     ) -> bool:
-        """Wait for an answer; another VM that answers at the address is none."""
+        """Wait for an acknowledgement; one from another VM does not count."""
         try:
             sender = await self._timer.wait_for(asyncio.shield(future), timeout_s)
         except errors.DeadlineExceededError:
@@ -172,7 +187,7 @@
         return sender == member.name
 
     def _helpers(self, member: VmUpdate) -> list[VmUpdate]:
-        """Choose helpers near the silent VM, some of them elsewhere."""
+        """Choose VMs for indirect probes, preferably near the probed VM."""
         count = self._settings.helpers
         candidates = [
             other
@@ -185,21 +200,23 @@
         self._rng.shuffle(near)
         self._rng.shuffle(far)
         if member.data_centre != own:
-            near = near[: max(1, int(count * RELAY_SHARE))]
+            near = near[: max(1, int(count * NEAR_HELPER_SHARE))]
         return (near + far)[:count]
 
-    async def relay(self, datagram: Datagram, requester: str) -> None:
-        """Probe a VM for another one and pass the acknowledgement back."""
+    async def relay_probe(self, datagram: Datagram, requester: str) -> None:
+        """Probe a VM on behalf of `requester` and pass the acknowledgement back."""
         member = self._table.get(datagram.subject)
         if member is None:
             return
         sequence = next(self._sequences)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[sequence] = future
+        self._pending_acks[sequence] = future
         try:
-            self._exchange.ask(member.address, DatagramKind.PING, sequence, member.name)
+            self._exchange.send_probe(
+                member.address, DatagramKind.PING, sequence, member.name
+            )
             timeout_s = self._settings.digest_timeout_s
-            if await self._answered(future, member, timeout_s):
-                self._exchange.acknowledge(requester, datagram.sequence, member.name)
+            if await self._wait_for_ack(future, member, timeout_s):
+                self._exchange.send_ack(requester, datagram.sequence, member.name)
         finally:
-            del self._waiting[sequence]
+            del self._pending_acks[sequence]
--- a/endivesill/membership/service.py
+++ b/endivesill/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership service: this VM's view of the fleet."""
+"""The SWIM membership service: this VM's view of the fleet."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     VM_LEAVING,
     VM_SUSPECT,
 )
-from endivesill.membership.exchange import Exchange
+from endivesill.membership.exchange import DatagramExchange
 from endivesill.membership.gossip import Gossip
+from endivesill.membership.gossip_state import GossipState
 from endivesill.membership.homes import HomeTable, LiveEntry
 from endivesill.membership.identity import OwnState
 from endivesill.membership.joining import Synchronizer
-from endivesill.membership.knowledge import Knowledge
 from endivesill.membership.leaving import LeavingTargets
 from endivesill.membership.members import MemberTable
 from endivesill.membership.messages import (
@@ -39,32 +39,32 @@
 )
 from endivesill.membership.probes import Prober
 from endivesill.membership.settings import MembershipSettings
-from endivesill.membership.suspicion import Suspicions
+from endivesill.membership.suspicion import SuspicionTimers
 from endivesill.membership.view import MembershipView, VmRecord
 from endivesill.peers import PeerTransport
 from endivesill.settings import VmSettings
 
 __all__ = ["SwimMembership"]
 
-TICK_S = 0.5
-PAUSE_LIMIT_S = 1.5
-ALONE_RETRY_S = 1.0
+PAUSE_CHECK_PERIOD_S = 0.5
+PAUSE_THRESHOLD_S = 1.5
+ISOLATED_RETRY_S = 1.0
 
 
 class SwimMembership(MembershipView):
-    """The view of the fleet that SWIM probes and gossip keep up to date.
+    """A view of the fleet maintained by SWIM probes and gossip.
 
     Args:
       kernel: the process's kernel.
-      vm: the VM's own settings.
-      settings: periods and bounds.
+      vm: the settings of this VM.
+      settings: the membership settings.
       peers: the transport of the peer port.
       datagrams: the datagram transport at the same address.
       configuration: the source of the configuration.
-      seed: seed of all random choices; None takes one from the system.
+      seed: seed of all random choices; None uses the system's randomness.
 
     Attributes:
-      table: all VMs with their incarnations.
+      table: the member table.
       leaving_targets: the targets that are leaving.
     """
 
@@ -86,26 +86,28 @@
         self._configuration = configuration
         self._rng = random.Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._extra_addresses: list[str] = []
-        self._last_tick_s = timer.now_s()
-        self._confirmed = True
-        self.table = MemberTable(timer, self._first_update())
+        self._listed_addresses: list[str] = []
+        self._last_pause_check_s = timer.now_s()
+        self._acked_since_pause = True
+        self.table = MemberTable(timer, self._initial_update())
         delegates = Delegates(self.table, settings, self._rng)
         self._gossip = Gossip(timer, self.table, self._rng, delegates)
         self.leaving_targets = LeavingTargets(
-            timer, configuration.current, self._gossip.tell
+            timer, configuration.current, self._gossip.broadcast
         )
-        self._own = OwnState(self.table, self._gossip.tell, self._doubted)
-        self._knowledge = Knowledge(
+        self._own = OwnState(self.table, self._gossip.broadcast, self._on_suspected)
+        self._gossip_state = GossipState(
             self.table, self._own, self.leaving_targets, self._gossip
         )
-        self._suspicions = Suspicions(
-            timer, self.table, settings, self._knowledge.take, self._ask_again
+        self._suspicion_timers = SuspicionTimers(
+            timer, self.table, settings, self._gossip_state.apply, self._probe_again
+        )
+        self._exchange = DatagramExchange(
+            datagrams, self.table, self._gossip_state, self._gossip
         )
-        self._exchange = Exchange(datagrams, self.table, self._knowledge, self._gossip)
         self._exchange.handle(DatagramKind.PING, self._answer_ping)
         self._exchange.handle(DatagramKind.PING_REQUEST, self._relay)
-        self._exchange.observe(self._compare)
+        self._exchange.observe(self._sync_on_mismatch)
         self._prober = Prober(
             timer,
             self.table,
@@ -113,15 +115,15 @@
             self._rng,
             self._exchange,
             delegates,
-            self._suspicions.suspect,
+            self._suspicion_timers.suspect,
         )
         self._synchronizer = Synchronizer(
-            timer, self.table, settings, self._rng, peers, self._knowledge, self._own
+            timer, self.table, settings, self._rng, peers, self._gossip_state, self._own
         )
         self._homes = HomeTable(timer, vm.name, self._region_of)
-        self.table.subscribe(self._table_changed)
+        self.table.subscribe(self._on_table_change)
 
-    def _first_update(self) -> VmUpdate:
+    def _initial_update(self) -> VmUpdate:
         vm = self._vm
         return VmUpdate(
             vm.name,
@@ -136,49 +138,49 @@
         )
 
     async def start(self) -> None:
-        """Open the datagram port, join the fleet and probe."""
+        """Open the datagram port; start to join the fleet and to probe."""
         await self._exchange.open()
-        self._last_tick_s = self._timer.now_s()
+        self._last_pause_check_s = self._timer.now_s()
         self._supervise("join", self._join)
         self._supervise("probe-peers", self._prober.probe_peers)
         self._supervise("probe-data-centres", self._prober.probe_data_centres)
         self._supervise("retry-gone", self._retry_gone)
-        self._supervise("tick", self._tick)
+        self._supervise("tick", self._watch_for_pauses)
 
     async def stop(self) -> None:
-        """Stop; a VM that is leaving says that it has left."""
+        """Stop all tasks; a leaving VM first broadcasts that it has left."""
         if self._own.phase is Phase.LEAVING:
             await self.depart()
         self._gossip.close()
-        self._suspicions.close()
+        self._suspicion_timers.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._exchange.close()
 
     async def leave(self) -> None:
-        """Tell the fleet that this VM leaves, so that its homes move at once."""
+        """Announce that this VM is leaving, so that its homes move at once."""
         self._own.announce(Phase.LEAVING)
         self._gossip.push_now()
 
     async def depart(self) -> None:
-        """Tell the fleet that this VM has left, as the last act before the exit."""
+        """Announce that this VM has left, as the last step before it exits."""
         self._own.depart()
         self._gossip.push_now()
 
     def add_join_addresses(self, addresses: Iterable[str]) -> None:
-        """Try further addresses, such as those of a VM list."""
+        """Add addresses to try to join, such as those of a VM list."""
         for address in addresses:
-            if address not in self._extra_addresses:
-                self._extra_addresses.append(address)
+            if address not in self._listed_addresses:
+                self._listed_addresses.append(address)
 
     def vms(self) -> tuple[VmRecord, ...]:
-        """Return all VMs known, ordered by name."""
+        """Return all known VMs, ordered by name."""
         return self.table.records()
 
     @property
     def own_record(self) -> VmRecord:
-        """The record of this VM, as others get to know it."""
+        """The record of this VM, as other VMs see it."""
         return self.table.own.record()
 
     def home_of(self, target: Target) -> VmRecord | None:
@@ -188,124 +190,130 @@
         return member.record() if member is not None else None
 
     def is_home(self, target: Target) -> bool:
-        """Tell whether this VM is a target's home.
+        """Return whether this VM is a target's home.
 
-        It is not while another process has its name, nor after a pause of the
-        process until another VM has answered.
+        It is not while another process uses its name, nor after a pause of this
+        process until another VM has acknowledged a probe.
         """
-        return self._is_current() and self._homes.home_name(target) == self._vm.name
+        return self._can_hold_homes() and self._homes.home_name(target) == self._vm.name
 
     def home_since_s(self, target: Target) -> float | None:
         """Return when this VM became a target's home; see the base class."""
-        return self._homes.since_s(target) if self._is_current() else None
+        return self._homes.since_s(target) if self._can_hold_homes() else None
 
-    def _is_current(self) -> bool:
+    def _can_hold_homes(self) -> bool:
         if self._own.superseded or self._is_paused():
             return False
-        return self._confirmed or not self.table.others()
+        return self._acked_since_pause or not self.table.others()
 
     def _is_paused(self) -> bool:
-        return self._timer.now_s() - self._last_tick_s > PAUSE_LIMIT_S
+        return self._timer.now_s() - self._last_pause_check_s > PAUSE_THRESHOLD_S
 
     def _region_of(self, data_centre: str) -> str | None:
         item = self._configuration.current().data_centres.get(data_centre)
         return item.region if item is not None else None
 
-    def _table_changed(self, known: VmUpdate | None, update: VmUpdate) -> None:
+    def _on_table_change(self, known: VmUpdate | None, update: VmUpdate) -> None:
         if known is None or known.record() != update.record():
             _log_change(update)
         if (known is not None and known.is_live()) != update.is_live():
             self._update_homes()
         self._notify()
 
-    def _doubted(self) -> None:
-        """Count the own homes anew: another VM may have had them meanwhile."""
-        self._homes.restart()
+    def _on_suspected(self) -> None:
+        """Reset the ages of the own homes: another VM may have held them meanwhile."""
+        self._homes.reset_since()
 
     def _update_homes(self) -> None:
-        entries = [
+        live_entries = [
             LiveEntry(member.name, member.data_centre, member.region)
             for member in self.table.all()
             if member.is_live() and "entry" in member.roles
         ]
-        taken = self._homes.update(entries)
+        taken = self._homes.update(live_entries)
         if taken:
             events.emit(HOME_TAKEN, targets=taken)
 
     def _answer_ping(self, datagram: Datagram, source: str) -> None:
-        """Answer a probe; a prober that is doubted here is told of the doubt."""
+        """Acknowledge a probe; a suspected prober is told of the suspicion."""
         if self._own.superseded:
             return
         sender = self.table.get(datagram.sender)
         if sender is not None and sender.health is not Health.OK:
             self._exchange.send_updates(source, (sender,))
-        is_doubted = any(u.key() == self.table.own.key() for u in datagram.updates)
-        refutation = (self.table.own,) if is_doubted else ()
-        self._exchange.acknowledge(source, datagram.sequence, self._vm.name, refutation)
+        is_suspected = any(u.key() == self.table.own.key() for u in datagram.updates)
+        refutation = (self.table.own,) if is_suspected else ()
+        self._exchange.send_ack(source, datagram.sequence, self._vm.name, refutation)
 
-    def _ask_again(self, member: VmUpdate) -> None:
-        self._exchange.ask(member.address, DatagramKind.PING, 0, member.name)
+    def _probe_again(self, member: VmUpdate) -> None:
+        self._exchange.send_probe(member.address, DatagramKind.PING, 0, member.name)
 
     def _relay(self, datagram: Datagram, source: str) -> None:
-        self._run(self._prober.relay(datagram, source))
+        self._spawn(self._prober.relay_probe(datagram, source))
 
-    def _compare(self, datagram: Datagram, source: str) -> None:
-        """Bring both views together if they stay different."""
+    def _sync_on_mismatch(self, datagram: Datagram, source: str) -> None:
+        """Start a sync with an unknown sender or one whose digest differs."""
         if datagram.kind is DatagramKind.ACK:
-            self._confirmed = True
+            self._acked_since_pause = True
         if self.table.get(datagram.sender) is None:
-            self._run(self._synchronizer.sync_soon(source, unknown=True))
-        elif datagram.digest != self._knowledge.digest():
-            self._run(self._synchronizer.sync_soon(source))
+            self._spawn(self._synchronizer.sync_if_due(source, is_unknown=True))
+        elif datagram.digest != self._gossip_state.digest():
+            self._spawn(self._synchronizer.sync_if_due(source))
 
     def _supervise(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
-        self._keep(self._kernel.supervise(f"membership-{name}", run))
+        self._track(self._kernel.supervise(f"membership-{name}", run))
 
-    def _run(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        self._keep(asyncio.ensure_future(coroutine))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._track(asyncio.ensure_future(coroutine))
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
+    def _track(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _join_addresses(self) -> list[str]:
-        known = [*self._vm.join_addresses, *self._extra_addresses]
+        known = [*self._vm.join_addresses, *self._listed_addresses]
         return [address for address in known if address != self._vm.peer_address]
 
     async def _join(self) -> None:
         await self._synchronizer.join(self._join_addresses)
 
     async def _retry_gone(self) -> None:
-        """Try VMs that are gone, and addresses without a VM, now and then."""
+        """Retry gone VMs and join addresses without a known VM periodically."""
         while True:
             pause_s = self._settings.gone_retry_s
             if not self.table.others():
-                pause_s = min(pause_s, ALONE_RETRY_S)
+                pause_s = min(pause_s, ISOLATED_RETRY_S)
             pause_s *= self._rng.uniform(0.5, 1.5)
             await self._timer.sleep(pause_s)
-            self.table.forget_gone(self._settings.gone_kept_s)
-            gone = self.table.gone()
-            if gone:
-                member = self._rng.choice(gone)
-                self._exchange.ask(member.address, DatagramKind.PING, 0, member.name)
-            taken = {member.address for member in self.table.others()}
-            free = [a for a in self._join_addresses() if a not in taken]
-            if not taken:
-                await self._synchronizer.sync_any(free)
-            elif free:
-                await self._synchronizer.sync(self._rng.choice(free))
-
-    async def _tick(self) -> None:
-        """Notice when the process stood still."""
+            self.table.prune_gone(self._settings.gone_kept_s)
+            failed = self.table.failed()
+            if failed:
+                member = self._rng.choice(failed)
+                self._exchange.send_probe(
+                    member.address, DatagramKind.PING, 0, member.name
+                )
+            reached = {member.address for member in self.table.others()}
+            unmatched = [a for a in self._join_addresses() if a not in reached]
+            if not reached:
+                await self._synchronizer.sync_any(unmatched)
+            elif unmatched:
+                await self._synchronizer.sync(self._rng.choice(unmatched))
+
+    async def _watch_for_pauses(self) -> None:
+        """Detect pauses of this process.
+
+        After one, no timeout that ran meanwhile counts, and another VM may hold the
+        homes of this one.
+        """
         while True:
-            await self._timer.sleep(TICK_S)
+            await self._timer.sleep(PAUSE_CHECK_PERIOD_S)
             if self._is_paused():
-                paused_s = self._timer.now_s() - self._last_tick_s
+                paused_s = self._timer.now_s() - self._last_pause_check_s
                 events.emit(PROCESS_PAUSED, paused_s=round(paused_s, 3))
-                self._confirmed = False
-                self._suspicions.restart()
-                self._homes.restart()
-            self._last_tick_s = self._timer.now_s()
+                self._acked_since_pause = False
+                self._suspicion_timers.restart()
+                self._homes.reset_since()
+            self._last_pause_check_s = self._timer.now_s()
 
 
 def _log_change(update: VmUpdate) -> None:
--- a/endivesill/membership/settings.py
+++ b/endivesill/membership/settings.py
@@ -18,7 +18,7 @@
 @settings_section("membership")
 @attrs.frozen
 class MembershipSettings:
-    """Periods and bounds of the failure detection."""
+    """Failure detection, gossip between data centres, joining and the VM list."""
 
     probe_period_s: float = schema.field(
         "time between probes of one VM of the own data centre",
@@ -27,13 +27,13 @@
         maximum=60,
     )
     probe_timeout_s: float = schema.field(
-        "wait for an answer before others are asked to probe",
+        "wait for an answer before other VMs are asked to probe",
         default=0.1,
         minimum=0.01,
         maximum=30,
     )
     digest_period_s: float = schema.field(
-        "time between a delegate's exchanges with other data centres",
+        "time between a delegate's probes of other data centres",
         default=0.5,
         minimum=0.05,
         maximum=60,
@@ -45,28 +45,31 @@
         maximum=30,
     )
     delegates: int = schema.field(
-        "VMs of a data centre that speak with other ones",
+        "VMs of a data centre that gossip with other data centres",
         default=3,
         minimum=1,
         maximum=10,
     )
     helpers: int = schema.field(
-        "VMs that are asked to probe a silent one", default=3, minimum=1, maximum=10
+        "VMs that are asked to probe a VM that did not answer",
+        default=3,
+        minimum=1,
+        maximum=10,
     )
     gone_retry_s: float = schema.field(
-        "time between tries to reach a VM that is gone",
+        "time between attempts to reach a VM that is gone",
         default=3.0,
         minimum=0.1,
         maximum=3600,
     )
     gone_kept_s: float = schema.field(
-        "how long a VM that is gone is remembered",
+        "how long a VM that is gone is kept in the member table",
         default=21_600.0,
         minimum=10,
         maximum=604_800,
     )
     join_alone_s: float = schema.field(
-        "how long to look for a VM to join before going on alone",
+        "how long to try to join other VMs before continuing alone",
         default=5.0,
         minimum=0,
         maximum=600,
@@ -74,15 +77,22 @@
     vm_list: str = schema.field("kind of the platform's VM list", default="none")
     vm_list_file: str = schema.field("file of the VM list", default="")
     vm_list_period_s: float = schema.field(
-        "time between readings of the VM list", default=1.0, minimum=0.1, maximum=3600
+        "time between reads of the VM list", default=1.0, minimum=0.1, maximum=3600
     )
 
     vm_list_lag_s: float = schema.field(
-        "how far the VM list may lag", default=60.0, minimum=0, maximum=3600
+        "longest time by which the VM list may be out of date",
+        default=60.0,
+        minimum=0,
+        maximum=3600,
     )
 
     def suspicion_s(self, vms: int) -> float:
-        """Return how long a suspected VM has to refute, among so many VMs."""
+        """Return how long a suspect VM has to refute, in seconds.
+
+        Args:
+          vms: the number of VMs in its data centre.
+        """
         decades = math.log10(max(1, vms))
         periods = max(MINIMUM_SUSPICION_PERIODS, SUSPICION_PERIODS_PER_DECADE * decades)
         return periods * self.probe_period_s
--- a/endivesill/membership/view.py
+++ b/endivesill/membership/view.py
@@ -1,9 +1,9 @@
-"""What the other services know of the fleet's VMs.
+"""The view of the fleet that membership offers to the other services.
 
-`MembershipView` is the base; `StaticMembership` is the sibling for tests. The
-home of a target is the live entry of the target's data centre with the highest
-rendezvous hash; where that data centre has no live entry, of its region, and then
-of the whole fleet.
+`MembershipView` is the base class; `StaticMembership` is an implementation for
+tests. The home of a target is the live entry of the target's data centre with the
+highest rendezvous hash. If that data centre has no live entry, the entries of the
+region are used, then those of the whole fleet.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class VmState(enum.Enum):
-    """The states of a VM, as far as others know."""
+    """The states of a VM as seen by other VMs."""
 
     JOINING = "joining"
     ALIVE = "alive"
@@ -31,16 +31,16 @@
 
 @attrs.frozen
 class VmRecord:
-    """A VM as the fleet knows it.
+    """A VM as seen by another VM.
 
     Attributes:
       name: the VM's name.
-      instance_id: differs when a VM is replaced or its process starts anew.
-      address: its peer address.
+      instance_id: changes when the VM is replaced or its process restarts.
+      address: its peer address as HOST:PORT.
       data_centre: its data centre.
       region: its region.
       roles: `entry`, `control` or both.
-      state: what is known of its life.
+      state: its state.
     """
 
     name: str
@@ -53,36 +53,40 @@
 
 
 class MembershipView(Service):
-    """Base of the views of the fleet."""
+    """Base class of the views of the fleet."""
 
     def __init__(self) -> None:
         self._listeners: list[Callable[[], None]] = []
 
     def vms(self) -> tuple[VmRecord, ...]:
-        """Return all VMs known, this one included, ordered by name."""
+        """Return all known VMs, including this one, ordered by name."""
         raise NotImplementedError
 
     def home_of(self, target: Target) -> VmRecord | None:
-        """Return the VM that polls a target and lends its credits."""
+        """Return the VM that polls a target and lends its credits.
+
+        Returns:
+          None if there is no live entry.
+        """
         raise NotImplementedError
 
     def is_home(self, target: Target) -> bool:
-        """Tell whether this VM is the target's home."""
+        """Return whether this VM is the target's home."""
         raise NotImplementedError
 
     def home_since_s(self, target: Target) -> float | None:
         """Return when this VM became a target's home, on the timer's clock.
 
-        Until the credits that the home before it lent have expired, counted from
-        then, it lends from the cold allowance only.
+        From that time until the credits lent by the previous home have expired, a
+        home lends from the cold-start allowance only.
 
         Returns:
-          None if this VM is not the home.
+          Seconds on the timer's clock, or None if this VM is not the home.
         """
         raise NotImplementedError
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call a listener after each change of the fleet."""
+        """Call a listener after each change of the view."""
         self._listeners.append(listener)
 
     def _notify(self) -> None:
@@ -91,7 +95,17 @@
 
 
 class StaticMembership(MembershipView):
-    """A fleet that a test sets; homes are given by target name."""
+    """A fixed view for tests.
+
+    Args:
+      own_name: this VM's name.
+      vms: the VMs of the fleet.
+      homes: the name of the home VM by target name.
+
+    Attributes:
+      homes: see above.
+      since_s: when this VM became the home, by target name.
+    """
 
     def __init__(
         self, own_name: str, vms: tuple[VmRecord, ...], homes: dict[str, str]
@@ -103,26 +117,26 @@
         self.since_s: dict[str, float] = {}
 
     def vms(self) -> tuple[VmRecord, ...]:
-        """Return the VMs that were set."""
+        """Return the configured VMs."""
         return self._vms
 
     def home_of(self, target: Target) -> VmRecord | None:
-        """Return the home that was set."""
+        """Return the configured home of a target."""
         home = self.homes.get(target.name)
         return next((vm for vm in self._vms if vm.name == home), None)
 
     def is_home(self, target: Target) -> bool:
-        """Tell whether the home that was set is this VM."""
+        """Return whether the configured home is this VM."""
         return self.homes.get(target.name) == self._own_name
 
     def home_since_s(self, target: Target) -> float | None:
-        """Return what the test set in `since_s`; long ago if it set nothing."""
+        """Return the time in `since_s`; minus infinity if there is none."""
         if not self.is_home(target):
             return None
         return self.since_s.get(target.name, float("-inf"))
 
     def replace(self, vms: tuple[VmRecord, ...], homes: dict[str, str]) -> None:
-        """Set another fleet."""
+        """Replace VMs and homes and notify the listeners."""
         self._vms = vms
         self.homes = homes
         self._notify()
--- a/endivesill/membership/vm_list.py
+++ b/endivesill/membership/vm_list.py
@@ -1,8 +1,9 @@
-"""The platform's list of VMs, which lags: adapters by kind.
+"""Readers of the platform's list of VMs, by kind.
 
-The list only adds knowledge. A VM that it names and that is not known is tried; a
-VM or a target that it calls leaving is leaving. What it does not name, or calls
-live, changes nothing that was found out otherwise.
+The list may be out of date, so that it only adds information. A listed VM that is
+unknown is tried as a join address; a VM or target listed as leaving is leaving. A
+VM that is missing from the list or listed as staying does not override what probes,
+gossip or load reports have found.
 """
 
 from __future__ import annotations
@@ -27,29 +28,32 @@
 
 @attrs.frozen
 class ListedVm:
-    """One VM of the platform's list, of the system or of a target.
+    """One VM of the platform's list: a VM of the system or of a target.
 
     Attributes:
-      name: the VM's name, as the settings or the configuration have it.
-      address: its peer address; empty for a target.
-      leaving: whether the platform will take it away.
-      leaving_in_s: seconds until then, if the platform says.
+      name: the name of the VM in the settings or of the target in the configuration.
+      address: its peer address as HOST:PORT; empty for a target.
+      leaving: whether the platform is going to remove it.
+      leaving_in_s: seconds until the removal; None if not known.
     """
 
     name: str
     address: str = schema.field("peer address of a VM of the system", default="")
-    leaving: bool = schema.field("the platform takes the VM away", default=False)
+    leaving: bool = schema.field(
+        "the platform is going to remove the VM", default=False
+    )
     leaving_in_s: float | None = schema.field(
-        "seconds until then", default=None, minimum=0
+        "seconds until the removal", default=None, minimum=0
     )
 
 
 @attrs.frozen
 class VmList:
-    """One reading of the list.
+    """The content of the list at one time.
 
     Attributes:
-      as_of: the platform's time of it; an older one than the last is left out.
+      as_of: the platform's time of the list, in seconds; a list that is older than
+        the last one is ignored.
       vms: the VMs by name.
     """
 
@@ -58,10 +62,10 @@
 
 
 class VmListReader:
-    """Base of the adapters.
+    """Base class of the readers.
 
     Args:
-      source: where the list is, such as a file's path.
+      source: where the list is, such as the path of a file.
     """
 
     def __init__(self, source: str) -> None:
@@ -71,7 +75,7 @@
         """Read the list.
 
         Raises:
-          VmListError: it cannot be read.
+          VmListError: the list cannot be read.
         """
         raise NotImplementedError
 
@@ -87,14 +91,14 @@
 
 
 def make_vm_list(kind: str, source: str) -> VmListReader:
-    """Build the reader of a kind.
+    """Return a reader of a registered kind.
 
     Raises:
-      VmListError: there is no such kind.
+      VmListError: the kind is unknown.
     """
     reader = VM_LISTS.get(kind)
     if reader is None:
-        raise errors.VmListError(f"no VM list of the kind {kind!r}")
+        raise errors.VmListError(f"unknown kind of VM list: {kind!r}")
     return reader(source)
 
 
@@ -112,7 +116,7 @@
 
 @vm_list("none")
 class NoVmList(VmListReader):
-    """A platform without a list."""
+    """The reader for a platform without a VM list."""
 
     async def read(self) -> VmList:
         """Return an empty list."""
@@ -121,10 +125,10 @@
 
 @vm_list("ini")
 class IniVmList(VmListReader):
-    """A file with a section `[vm NAME]` for each VM."""
+    """An INI file with a section `[vm NAME]` for each VM."""
 
     async def read(self) -> VmList:
-        """Read the file; its time is that of the list."""
+        """Read the file; its modification time is the time of the list."""
         text, modified_s = await _read_file(self.source)
         sections, findings = parse_ini(text, self.source)
         vms = {}
@@ -141,10 +145,10 @@
 
 @vm_list("json-lines")
 class JsonLinesVmList(VmListReader):
-    """A file with a JSON object a line: name, address, leaving, leaving_in_s."""
+    """A file with one JSON object per line, with the fields of `ListedVm`."""
 
     async def read(self) -> VmList:
-        """Read the file; its time is that of the list."""
+        """Read the file; its modification time is the time of the list."""
         text, modified_s = await _read_file(self.source)
         vms = {}
         for number, line in enumerate(text.splitlines(), start=1):
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -107,7 +107,7 @@
         target = self.targets[0]
         old = self.fleet.homes(self.targets, "vm-4")[target.name]
         member = self.fleet.members["vm-4"]
-        member.leaving_targets.report(target.name, "boot-1", 0.0)
+        member.leaving_targets.apply_load_report(target.name, "boot-1", 0.0)
         await self.fleet.kill(old)
         await self.fleet.timer.advance(3.0)
         found = {
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -188,7 +188,7 @@
         await self.fleet.kill("vm-2")
         await self.timer.advance(1.0)
         table = self.fleet.members["vm-1"].table
-        self.assertEqual([], table.gone())
+        self.assertEqual([], table.failed())
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-2"))
 
 
--- a/tests/test_membership_leaving.py
+++ b/tests/test_membership_leaving.py
@@ -29,36 +29,36 @@
         self.name = self.target.name
 
     def test_target_stays_until_a_source_says_otherwise(self):
-        self.leaving.report(self.name, "boot-1", None)
+        self.leaving.apply_load_report(self.name, "boot-1", None)
         self.assertFalse(self.leaving.is_leaving(self.name))
         self.assertEqual([], self.told)
 
     def test_return_that_is_told_again_is_no_news(self):
-        self.leaving.report(self.name, "boot-1", 5.0)
-        self.leaving.report(self.name, "boot-2", None)
+        self.leaving.apply_load_report(self.name, "boot-1", 5.0)
+        self.leaving.apply_load_report(self.name, "boot-2", None)
         (notice,) = self.leaving.notices()
         self.assertFalse(notice.leaving)
         self.assertFalse(self.leaving.merge(notice))
 
     def test_later_older_report_does_not_undo_the_target_s_word(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
-        self.leaving.report(self.name, "boot-1", None)
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
+        self.leaving.apply_load_report(self.name, "boot-1", None)
         self.assertTrue(self.leaving.is_leaving(self.name))
 
     def test_earliest_source_counts(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
-        self.leaving.listed({self.name: 10.0}, set())
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
+        self.leaving.apply_vm_list({self.name: 10.0}, set())
         self.timer.jump(4.0)
         self.assertAlmostEqual(6.0, self.leaving.notice_s(self.name))
 
     def test_longer_notice_than_the_first_changes_nothing(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
-        self.leaving.report(self.name, "boot-1", 60.0)
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
+        self.leaving.apply_load_report(self.name, "boot-1", 60.0)
         self.assertAlmostEqual(30.0, self.leaving.notice_s(self.name))
 
     def test_vm_list_that_calls_it_live_does_not_undo_the_target_s_word(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
-        self.leaving.listed({}, {self.name})
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
+        self.leaving.apply_vm_list({}, {self.name})
         self.assertTrue(self.leaving.is_leaving(self.name))
 
     def test_operators_word_counts_without_a_time(self):
@@ -68,16 +68,16 @@
         self.assertIsNone(self.leaving.notice_s(self.name))
 
     def test_new_boot_returns_and_a_late_report_of_the_old_one_is_left_out(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
-        self.leaving.report(self.name, "boot-2", None)
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
+        self.leaving.apply_load_report(self.name, "boot-2", None)
         self.assertFalse(self.leaving.is_leaving(self.name))
-        self.leaving.report(self.name, "boot-1", 25.0)
+        self.leaving.apply_load_report(self.name, "boot-1", 25.0)
         self.assertFalse(self.leaving.is_leaving(self.name))
 
     def test_older_notice_of_another_vm_does_not_undo_a_newer_one(self):
-        self.leaving.report(self.name, "boot-1", 30.0)
+        self.leaving.apply_load_report(self.name, "boot-1", 30.0)
         old = self.told[0]
-        self.leaving.report(self.name, "boot-2", None)
+        self.leaving.apply_load_report(self.name, "boot-2", None)
         self.assertFalse(self.leaving.merge(old))
         self.assertFalse(self.leaving.is_leaving(self.name))
 
@@ -88,7 +88,9 @@
     async def test_all_entries_know_of_it_within_two_seconds_at_some_loss(self):
         fleet = self.fleet
         fleet.network.loss = 0.02
-        fleet.members["vm-1"].leaving_targets.report("engine-1", "boot-1", 30.0)
+        fleet.members["vm-1"].leaving_targets.apply_load_report(
+            "engine-1", "boot-1", 30.0
+        )
         await fleet.timer.advance(2.0)
         for member in fleet.members.values():
             self.assertTrue(member.leaving_targets.is_leaving("engine-1"))
@@ -115,18 +117,18 @@
             lambda: self.told.append("leaving"),
         )
 
-    def take(self, as_of, *vms):
-        self.watch.take(VmList(as_of, {vm.name: vm for vm in vms}))
+    def apply(self, as_of, *vms):
+        self.watch.apply(VmList(as_of, {vm.name: vm for vm in vms}))
 
     async def test_list_older_than_the_truth_brings_no_dead_vm_back(self):
         await self.fleet.kill("vm-2")
         await self.fleet.timer.advance(3.0)
-        self.take(1.0, ListedVm("vm-2", address=self.fleet.address("vm-2")))
+        self.apply(1.0, ListedVm("vm-2", address=self.fleet.address("vm-2")))
         await self.fleet.timer.advance(5.0)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-2"))
 
     async def test_list_without_a_vm_takes_none_away(self):
-        self.take(1.0)
+        self.apply(1.0)
         await self.fleet.timer.advance(3.0)
         self.assertTrue(self.fleet.is_converged())
 
@@ -134,30 +136,30 @@
         self.fleet.places["vm-9"] = ("b", "10.0.0.9:7000")
         self.fleet.join = ()
         await self.fleet.start("vm-9")
-        self.take(1.0, ListedVm("vm-9", address="10.0.0.9:7000"))
+        self.apply(1.0, ListedVm("vm-9", address="10.0.0.9:7000"))
         await self.fleet.timer.advance(10.0)
         self.assertTrue(self.fleet.is_converged())
 
     async def test_target_that_the_list_calls_leaving_is_leaving(self):
         name = self.target.name
-        self.take(2.0, ListedVm(name, leaving=True, leaving_in_s=20.0))
+        self.apply(2.0, ListedVm(name, leaving=True, leaving_in_s=20.0))
         self.assertTrue(self.member.leaving_targets.is_leaving(name))
-        self.take(1.0, ListedVm(name))
+        self.apply(1.0, ListedVm(name))
         self.assertTrue(self.member.leaving_targets.is_leaving(name))
-        self.take(3.0, ListedVm(name))
+        self.apply(3.0, ListedVm(name))
         self.assertFalse(self.member.leaving_targets.is_leaving(name))
 
     async def test_own_leaving_counts_once_the_list_has_shown_this_vm(self):
-        self.take(1.0, ListedVm("vm-1"))
-        self.take(2.0, ListedVm("vm-1", leaving=True))
-        self.take(3.0, ListedVm("vm-1", leaving=True))
+        self.apply(1.0, ListedVm("vm-1"))
+        self.apply(2.0, ListedVm("vm-1", leaving=True))
+        self.apply(3.0, ListedVm("vm-1", leaving=True))
         self.assertEqual(["leaving"], self.told)
 
     async def test_list_that_speaks_of_the_vm_before_does_not_drain_the_new_one(self):
-        self.take(1.0, ListedVm("vm-1", leaving=True))
+        self.apply(1.0, ListedVm("vm-1", leaving=True))
         self.assertEqual([], self.told)
         self.fleet.timer.jump(self.fleet.settings.vm_list_lag_s + 1)
-        self.take(2.0, ListedVm("vm-1", leaving=True))
+        self.apply(2.0, ListedVm("vm-1", leaving=True))
         self.assertEqual(["leaving"], self.told)
 
 
