--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""The base of the tests that run a fleet on the manual timer."""
+"""Base class of the tests that run a fleet on the manual timer."""
 
 import asyncio
 import unittest
@@ -7,12 +7,12 @@
 
 
 class FleetTestCase(unittest.IsolatedAsyncioTestCase):
-    """A fleet that ends with the test.
+    """Runs a fleet on a simulated network for each test.
 
     Attributes:
-      sizes: how many VMs each data centre has.
-      seed: the seed of the fleet.
-      started: whether all VMs run when the test begins.
+      sizes: the number of VMs by data centre.
+      seed: the seed of the fleet's random choices.
+      started: whether all VMs are started before the test.
     """
 
     sizes = {"a": 3, "b": 2, "c": 2}
@@ -20,7 +20,7 @@
     started = True
 
     async def asyncSetUp(self):
-        # The loop's debug mode makes a fleet about ten times slower.
+        # Debug mode of the event loop slows a fleet down about ten times.
         asyncio.get_running_loop().set_debug(False)
         self.fleet = MemoryFleet(self.sizes, seed=self.seed)
         self.timer = self.fleet.timer
@@ -32,7 +32,7 @@
         await self.fleet.stop()
 
     async def advance_watching(self, duration_s, names):
-        """Advance in steps; return all states that others saw of the names."""
+        """Advance in steps of 50 ms; return all states of the named VMs that others saw."""
         seen = set()
         for _ in range(round(duration_s / 0.05)):
             await self.timer.advance(0.05)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Tests of the homes of targets."""
+"""Tests of the assignment of targets to their home VMs."""
 
 import unittest
 
@@ -46,7 +46,7 @@
         self.table.update([])
         self.assertIsNone(self.table.home_name(target))
 
-    def test_vm_that_goes_moves_only_its_own_targets(self):
+    def test_vm_that_leaves_moves_only_its_own_targets(self):
         live = entries({"a": 6, "b": 6, "c": 6})
         self.table.update(live)
         before = self.homes()
@@ -55,7 +55,7 @@
         self.assertEqual([n for n in before if before[n] == "a3"], moved)
         self.assertLess(len(moved), 2 * 900 / 18)
 
-    def test_vm_that_joins_takes_about_its_share_and_moves_no_other(self):
+    def test_vm_that_joins_takes_over_only_its_share(self):
         live = entries({"a": 6, "b": 6, "c": 6})
         self.table.update([entry for entry in live if entry.name != "a3"])
         before = self.homes()
@@ -65,7 +65,7 @@
         self.assertEqual({"a3"}, {after[name] for name in moved})
         self.assertLess(len(moved), 2 * 900 / 18)
 
-    def test_kept_homes_are_those_that_a_new_process_finds(self):
+    def test_cached_homes_equal_those_of_a_new_table(self):
         live = entries({"a": 6, "b": 6, "c": 6})
         for step in (live, live[3:], live[6:], live[:4], live):
             self.table.update(step)
@@ -74,17 +74,17 @@
             expected = {t.name: fresh.home_name(t) for t in self.targets}
             self.assertEqual(expected, self.homes())
 
-    def test_new_home_knows_since_when_it_is_one(self):
+    def test_new_home_has_its_start_time(self):
         live = entries({"a": 2})
         self.table.update(live)
         target = next(t for t in self.targets if self.table.home_name(t) == "a1")
         self.assertIsNone(self.table.since_s(target))
         self.timer.jump(10.0)
-        taken = self.table.update(live[:1])
-        self.assertIn(target.name, taken)
+        gained = self.table.update(live[:1])
+        self.assertIn(target.name, gained)
         self.assertEqual(self.timer.now_s(), self.table.since_s(target))
 
-    def test_home_that_is_kept_keeps_its_time(self):
+    def test_unchanged_home_keeps_its_start_time(self):
         live = entries({"a": 3})
         self.table.update(live)
         target = next(t for t in self.targets if self.table.home_name(t) == "a0")
@@ -94,16 +94,16 @@
         self.assertEqual(since_s, self.table.since_s(target))
 
 
-class HomesOfAFleetTest(FleetTestCase):
+class FleetHomesTest(FleetTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.targets = make_targets(60, ["a", "b", "c"])
 
-    async def test_all_vms_find_the_same_homes(self):
+    async def test_all_vms_compute_the_same_homes(self):
         views = [self.fleet.homes(self.targets, name) for name in self.fleet.members]
         self.assertTrue(all(view == views[0] for view in views))
 
-    async def test_home_and_its_target_dying_together_leaves_one_new_home(self):
+    async def test_simultaneous_failure_of_home_and_target_gives_one_new_home(self):
         target = self.targets[0]
         old = self.fleet.homes(self.targets, "vm-4")[target.name]
         member = self.fleet.members["vm-4"]
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -1,4 +1,4 @@
-"""Tests of failure detection: what fails, and what the others then think."""
+"""Tests of failure detection, partitions, joining, leaving and process pauses."""
 
 from bench.memory_fleet import make_targets
 from endivesill.membership import VmState
@@ -7,13 +7,13 @@
 DETECTION_S = 3.0
 
 
-class DeathTest(FleetTestCase):
+class VmFailureTest(FleetTestCase):
     async def test_dead_vm_is_gone_everywhere_within_the_detection_time(self):
         await self.fleet.kill("vm-2")
         await self.timer.advance(DETECTION_S)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-2"))
 
-    async def test_two_vms_dead_at_once_are_both_found(self):
+    async def test_two_simultaneous_failures_are_both_detected(self):
         await self.fleet.kill("vm-4")
         await self.fleet.kill("vm-5")
         await self.timer.advance(2 * DETECTION_S)
@@ -21,7 +21,7 @@
             self.assertEqual({VmState.GONE}, self.fleet.states(name))
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_vm_lost_right_after_a_repair_is_found_as_fast(self):
+    async def test_failure_right_after_another_vm_restarted_is_detected_in_time(self):
         await self.fleet.kill("vm-2")
         await self.timer.advance(DETECTION_S)
         await self.fleet.start("vm-2")
@@ -41,7 +41,7 @@
         self.assertNotIn(VmState.GONE, seen)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_flapping_vm_is_known_as_it_is_at_the_end(self):
+    async def test_flapping_vm_ends_up_in_its_actual_state(self):
         for _ in range(4):
             await self.fleet.kill("vm-6")
             await self.timer.advance(0.7)
@@ -59,7 +59,7 @@
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-7"))
         self.assertEqual({VmState.ALIVE}, self.fleet.states("vm-8"))
 
-    async def test_clock_that_went_back_does_not_hide_a_restarted_vm(self):
+    async def test_restarted_vm_is_seen_although_its_clock_went_back(self):
         await self.fleet.kill("vm-2")
         self.timer.wall_offset_s = -500.0
         await self.fleet.start("vm-2")
@@ -68,7 +68,7 @@
 
 
 class PartitionTest(FleetTestCase):
-    async def test_silent_partition_of_a_vm_ends_in_gone_and_heals(self):
+    async def test_partitioned_vm_is_gone_and_returns_after_healing(self):
         self.fleet.partition(["vm-3"])
         await self.timer.advance(DETECTION_S)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-3"))
@@ -76,7 +76,7 @@
         await self.timer.advance(3 * DETECTION_S)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_silent_partition_of_a_data_centre_merges_without_a_flap(self):
+    async def test_partitioned_data_centre_returns_without_flapping(self):
         inside = self.fleet.in_data_centre("a")
         outside = [name for name in self.fleet.places if name not in inside]
         self.fleet.partition(inside)
@@ -92,7 +92,7 @@
                 self.assertNotIn(VmState.GONE, states)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_data_centre_out_and_back_twice(self):
+    async def test_data_centre_killed_and_restarted_twice(self):
         for _ in range(2):
             for name in self.fleet.in_data_centre("b"):
                 await self.fleet.kill(name)
@@ -104,13 +104,13 @@
             await self.timer.advance(DETECTION_S)
             self.assertTrue(self.fleet.is_converged())
 
-    async def test_one_way_loss_does_not_kill_a_vm_that_others_reach(self):
+    async def test_one_way_loss_does_not_mark_a_reachable_vm_gone(self):
         network, address = self.fleet.network, self.fleet.address
         network.cut(address("vm-4"), address("vm-5"), both=False)
         seen = await self.advance_watching(60.0, ["vm-4", "vm-5"])
         self.assertNotIn(VmState.GONE, seen)
 
-    async def test_cut_link_between_two_data_centres_kills_nobody(self):
+    async def test_cut_link_between_two_data_centres_marks_no_vm_gone(self):
         network, address = self.fleet.network, self.fleet.address
         for one in self.fleet.in_data_centre("a"):
             for other in self.fleet.in_data_centre("b"):
@@ -118,7 +118,7 @@
         seen = await self.advance_watching(60.0, list(self.fleet.places))
         self.assertNotIn(VmState.GONE, seen)
 
-    async def test_no_false_death_at_two_in_a_hundred_lost(self):
+    async def test_no_vm_is_falsely_gone_at_two_percent_loss(self):
         self.fleet.network.loss = 0.02
         self.fleet.network.jitter_s = 0.01
         seen = await self.advance_watching(120.0, list(self.fleet.places))
@@ -128,13 +128,13 @@
 class JoinTest(FleetTestCase):
     started = False
 
-    async def test_join_goes_through_any_vm_that_answers(self):
+    async def test_join_through_any_vm_that_answers(self):
         for name in ("vm-2", "vm-5", "vm-7"):
             await self.fleet.start(name)
         await self.timer.advance(DETECTION_S)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_vm_without_an_answer_goes_on_alone_and_joins_later(self):
+    async def test_vm_without_an_answer_continues_alone_and_joins_later(self):
         await self.fleet.start("vm-7")
         await self.timer.advance(1.0)
         own = self.fleet.members["vm-7"].own_record
@@ -146,7 +146,7 @@
         await self.timer.advance(DETECTION_S)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_views_of_halves_that_started_apart_are_merged(self):
+    async def test_views_of_partitions_that_started_separately_are_merged(self):
         inside = self.fleet.in_data_centre("a")
         await self.fleet.start("vm-1")
         self.fleet.partition(inside)
@@ -182,7 +182,7 @@
             views = [self.fleet.homes(targets, vm) for vm in self.fleet.members]
             self.assertTrue(all(view == views[0] for view in views))
 
-    async def test_vm_that_left_is_not_tried_again(self):
+    async def test_vm_that_left_is_not_retried(self):
         await self.fleet.members["vm-2"].depart()
         await self.timer.advance(1.0)
         await self.fleet.kill("vm-2")
@@ -193,7 +193,7 @@
 
 
 class PauseTest(FleetTestCase):
-    async def test_process_that_stood_still_is_no_home_until_another_vm_answers(self):
+    async def test_paused_process_is_no_home_until_another_vm_answers(self):
         target = make_targets(1, ["a"])[0]
         name = self.fleet.homes([target], "vm-1")[target.name]
         member = self.fleet.members[name]
@@ -225,7 +225,7 @@
 class LargeDataCentreTest(FleetTestCase):
     sizes = {"a": 40}
 
-    async def test_forty_vms_agree_on_a_death(self):
+    async def test_forty_vms_detect_a_failure(self):
         await self.fleet.kill("vm-33")
         await self.timer.advance(4.0)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-33"))
--- a/tests/test_membership_leaving.py
+++ b/tests/test_membership_leaving.py
@@ -22,25 +22,25 @@
         self.timer = ManualTimer()
         self.target = make_targets(1, ["a"])[0]
         self.configuration = with_target(Configuration(), self.target)
-        self.told = []
+        self.broadcast = []
         self.leaving = LeavingTargets(
-            self.timer, lambda: self.configuration, self.told.append
+            self.timer, lambda: self.configuration, self.broadcast.append
         )
         self.name = self.target.name
 
-    def test_target_stays_until_a_source_says_otherwise(self):
+    def test_target_stays_without_a_notice(self):
         self.leaving.apply_load_report(self.name, "boot-1", None)
         self.assertFalse(self.leaving.is_leaving(self.name))
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.broadcast)
 
-    def test_return_that_is_told_again_is_no_news(self):
+    def test_repeated_notice_of_a_return_changes_nothing(self):
         self.leaving.apply_load_report(self.name, "boot-1", 5.0)
         self.leaving.apply_load_report(self.name, "boot-2", None)
         (notice,) = self.leaving.notices()
         self.assertFalse(notice.leaving)
         self.assertFalse(self.leaving.merge(notice))
 
-    def test_later_older_report_does_not_undo_the_target_s_word(self):
+    def test_report_of_the_same_boot_does_not_revoke_its_notice(self):
         self.leaving.apply_load_report(self.name, "boot-1", 30.0)
         self.leaving.apply_load_report(self.name, "boot-1", None)
         self.assertTrue(self.leaving.is_leaving(self.name))
@@ -51,41 +51,41 @@
         self.timer.jump(4.0)
         self.assertAlmostEqual(6.0, self.leaving.notice_s(self.name))
 
-    def test_longer_notice_than_the_first_changes_nothing(self):
+    def test_later_departure_of_the_same_boot_is_ignored(self):
         self.leaving.apply_load_report(self.name, "boot-1", 30.0)
         self.leaving.apply_load_report(self.name, "boot-1", 60.0)
         self.assertAlmostEqual(30.0, self.leaving.notice_s(self.name))
 
-    def test_vm_list_that_calls_it_live_does_not_undo_the_target_s_word(self):
+    def test_vm_list_does_not_revoke_the_notice_of_a_target(self):
         self.leaving.apply_load_report(self.name, "boot-1", 30.0)
         self.leaving.apply_vm_list({}, {self.name})
         self.assertTrue(self.leaving.is_leaving(self.name))
 
-    def test_operators_word_counts_without_a_time(self):
+    def test_leaving_in_the_configuration_has_no_departure_time(self):
         leaving = attrs.evolve(self.target, leaving=True)
         self.configuration = with_target(self.configuration, leaving)
         self.assertTrue(self.leaving.is_leaving(self.name))
         self.assertIsNone(self.leaving.notice_s(self.name))
 
-    def test_new_boot_returns_and_a_late_report_of_the_old_one_is_left_out(self):
+    def test_new_boot_revokes_the_notice_and_late_reports_are_ignored(self):
         self.leaving.apply_load_report(self.name, "boot-1", 30.0)
         self.leaving.apply_load_report(self.name, "boot-2", None)
         self.assertFalse(self.leaving.is_leaving(self.name))
         self.leaving.apply_load_report(self.name, "boot-1", 25.0)
         self.assertFalse(self.leaving.is_leaving(self.name))
 
-    def test_older_notice_of_another_vm_does_not_undo_a_newer_one(self):
+    def test_older_notice_from_another_vm_is_ignored(self):
         self.leaving.apply_load_report(self.name, "boot-1", 30.0)
-        old = self.told[0]
+        older_notice = self.broadcast[0]
         self.leaving.apply_load_report(self.name, "boot-2", None)
-        self.assertFalse(self.leaving.merge(old))
+        self.assertFalse(self.leaving.merge(older_notice))
         self.assertFalse(self.leaving.is_leaving(self.name))
 
 
-class LeavingInTheFleetTest(FleetTestCase):
+class FleetLeavingTargetsTest(FleetTestCase):
     sizes = {"a": 5, "b": 5, "c": 5}
 
-    async def test_all_entries_know_of_it_within_two_seconds_at_some_loss(self):
+    async def test_notice_reaches_all_vms_within_two_seconds_despite_loss(self):
         fleet = self.fleet
         fleet.network.loss = 0.02
         fleet.members["vm-1"].leaving_targets.apply_load_report(
@@ -103,7 +103,7 @@
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.told = []
+        self.leaving_calls = []
         self.target = make_targets(1, ["a"])[0]
         source = self.fleet.configuration
         source.replace(with_target(source.current(), self.target))
@@ -114,25 +114,25 @@
             self.fleet.settings,
             self.member,
             source,
-            lambda: self.told.append("leaving"),
+            lambda: self.leaving_calls.append("leaving"),
         )
 
     def apply(self, as_of, *vms):
         self.watch.apply(VmList(as_of, {vm.name: vm for vm in vms}))
 
-    async def test_list_older_than_the_truth_brings_no_dead_vm_back(self):
+    async def test_outdated_list_does_not_revive_a_gone_vm(self):
         await self.fleet.kill("vm-2")
         await self.fleet.timer.advance(3.0)
         self.apply(1.0, ListedVm("vm-2", address=self.fleet.address("vm-2")))
         await self.fleet.timer.advance(5.0)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-2"))
 
-    async def test_list_without_a_vm_takes_none_away(self):
+    async def test_vm_missing_from_the_list_stays_alive(self):
         self.apply(1.0)
         await self.fleet.timer.advance(3.0)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_unknown_vm_of_the_list_is_met(self):
+    async def test_unknown_vm_of_the_list_joins(self):
         self.fleet.places["vm-9"] = ("b", "10.0.0.9:7000")
         self.fleet.join = ()
         await self.fleet.start("vm-9")
@@ -140,7 +140,7 @@
         await self.fleet.timer.advance(10.0)
         self.assertTrue(self.fleet.is_converged())
 
-    async def test_target_that_the_list_calls_leaving_is_leaving(self):
+    async def test_target_listed_as_leaving_is_leaving(self):
         name = self.target.name
         self.apply(2.0, ListedVm(name, leaving=True, leaving_in_s=20.0))
         self.assertTrue(self.member.leaving_targets.is_leaving(name))
@@ -149,18 +149,18 @@
         self.apply(3.0, ListedVm(name))
         self.assertFalse(self.member.leaving_targets.is_leaving(name))
 
-    async def test_own_leaving_counts_once_the_list_has_shown_this_vm(self):
+    async def test_own_leaving_counts_once_the_vm_was_listed_as_staying(self):
         self.apply(1.0, ListedVm("vm-1"))
         self.apply(2.0, ListedVm("vm-1", leaving=True))
         self.apply(3.0, ListedVm("vm-1", leaving=True))
-        self.assertEqual(["leaving"], self.told)
+        self.assertEqual(["leaving"], self.leaving_calls)
 
-    async def test_list_that_speaks_of_the_vm_before_does_not_drain_the_new_one(self):
+    async def test_list_entry_of_the_previous_vm_does_not_drain_the_new_one(self):
         self.apply(1.0, ListedVm("vm-1", leaving=True))
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.leaving_calls)
         self.fleet.timer.jump(self.fleet.settings.vm_list_lag_s + 1)
         self.apply(2.0, ListedVm("vm-1", leaving=True))
-        self.assertEqual(["leaving"], self.told)
+        self.assertEqual(["leaving"], self.leaving_calls)
 
 
 class VmListFileTest(unittest.IsolatedAsyncioTestCase):
@@ -183,7 +183,7 @@
         found = await self.read("json-lines", '{"name": "v1", "address": "h:1"}\n')
         self.assertEqual(ListedVm("v1", address="h:1"), found.vms["v1"])
 
-    async def test_bad_file_is_an_error_with_its_place(self):
+    async def test_invalid_file_is_an_error_with_file_and_line(self):
         with self.assertRaisesRegex(errors.VmListError, ":1: "):
             await self.read("json-lines", "{}\n")
         with self.assertRaisesRegex(errors.VmListError, "leaving"):
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Tests of membership's datagrams: their JSON, their key, their size."""
+"""Tests of the encoding, authentication and transport of datagrams."""
 
 import asyncio
 import unittest
@@ -50,11 +50,11 @@
         NAMES,
         st.lists(VM_UPDATES | NOTICES, max_size=4),
     )
-    def test_what_is_encoded_is_decoded(self, kind, sequence, sender, updates):
+    def test_decoding_reverses_encoding(self, kind, sequence, sender, updates):
         datagram = Datagram(kind, sequence, sender, "x", 7, tuple(updates))
         self.assertEqual(datagram, decode_datagram(encode_datagram(datagram)))
 
-    def test_suspicion_goes_without_the_places(self):
+    def test_suspect_vm_is_encoded_in_the_short_form(self):
         update = VmUpdate("v", "i", 3, Phase.ALIVE, Health.SUSPECT, "h:1", "a", "r")
         datagram = Datagram(DatagramKind.GOSSIP, 0, "w", updates=(update,))
         decoded = decode_datagram(encode_datagram(datagram)).updates[0]
@@ -63,11 +63,11 @@
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
-    def test_anything_else_is_an_error(self, data):
+    def test_invalid_data_are_an_error(self, data):
         with self.assertRaises(errors.PeerMessageError):
             decode_datagram(data)
 
-    def test_wrong_rows_are_errors(self):
+    def test_invalid_updates_are_errors(self):
         for row in ('["v","a","b",1,9]', '["v","a","b",1,1,"h"]', '["t","x"]', "3"):
             text = f'["g",0,"w","",0,{row}]'
             with self.assertRaises(errors.PeerMessageError, msg=row):
@@ -94,7 +94,7 @@
         self.addCleanup(transport.close)
         return transport, received
 
-    async def test_datagrams_with_a_shared_key_arrive_with_their_source(self):
+    async def test_datagrams_with_a_shared_key_are_received_with_their_source(self):
         one, _ = await self.open("key-one-0123456789")
         two, received = await self.open("key-new-0123456789", "key-one-0123456789")
         one.send(two.address, b"body")
