--- a/bench/configuration_fleet.py
+++ b/bench/configuration_fleet.py
@@ -11,7 +11,7 @@
 from endivesill.configuration.replica import (
     PROBE_PATH,
     ConfigurationReplica,
-    ReplicaPort,
+    ReplicaEndpoint,
 )
 from endivesill.configuration.state import APPLY
 from endivesill.configuration.tree import parent_of
@@ -168,7 +168,7 @@
                 self.timer, transport, disk, self.control_addresses
             )
             view: ConfigurationReplica = ControlReplicaView(replica)
-            ReplicaPort(self.timer, transport, view)
+            ReplicaEndpoint(self.timer, transport, view)
             self.replicas.append(replica)
         for replica in self.replicas:
             await replica.start()
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -9,7 +9,7 @@
 from endivesill.configuration.control_replica import ControlReplicaView
 from endivesill.configuration.model import Target
 from endivesill.configuration.named import NamedConfigurationSource
-from endivesill.configuration.replica import ReplicaPort
+from endivesill.configuration.replica import ReplicaEndpoint
 from endivesill.configuration.store import ConfigurationFile
 from endivesill.configuration.watcher import ConfigurationWatcher
 from endivesill.control import ControlClient
@@ -189,7 +189,7 @@
             settings.section(ControlSettings),
         )
         view = ControlReplicaView(replica)
-        port = ReplicaPort(kernel.timer, transport, view)
+        port = ReplicaEndpoint(kernel.timer, transport, view)
         control = replica
         kernel.add("control", control)
         kernel.add("configuration-port", port)
--- a/endivesill/configuration/__init__.py
+++ b/endivesill/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: its items, its folder and its distribution."""
+"""The operators' configuration: items, folder, replicated state, distribution."""
 
 from endivesill.configuration.folder import Folder, read_folder
 from endivesill.configuration.model import (
--- a/endivesill/configuration/acknowledgements.py
+++ b/endivesill/configuration/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Which VM has which revision in force, gathered up the distribution tree."""
+"""Collection of the revision in force on each VM, up the distribution tree."""
 
 from __future__ import annotations
 
@@ -10,50 +10,52 @@
 
 __all__ = ["Acknowledgements", "pack_revisions", "unpack_revisions"]
 
-Packed = dict[str, list[str]]
+PackedRevisions = dict[str, list[str]]
 
 
-def pack_revisions(revisions: Mapping[str, int]) -> Packed:
-    """Return revisions by VM as VMs by revision, which is shorter."""
-    packed: Packed = {}
+def pack_revisions(revisions: Mapping[str, int]) -> PackedRevisions:
+    """Return a compact form of revisions by VM: lists of VMs by revision."""
+    packed: PackedRevisions = {}
     for vm, revision in sorted(revisions.items()):
         packed.setdefault(str(revision), []).append(vm)
     return packed
 
 
-def unpack_revisions(packed: Packed) -> dict[str, int]:
-    """Return the revisions by VM that `pack_revisions` packed."""
+def unpack_revisions(packed: PackedRevisions) -> dict[str, int]:
+    """Return the revisions by VM from the form made by `pack_revisions`."""
     return {vm: int(revision) for revision, vms in packed.items() for vm in vms}
 
 
 @attrs.define
 class _Branch:
-    seen_s: float
+    reported_s: float
     revisions: dict[str, int]
 
 
 class Acknowledgements:
-    """The revisions that branches of the tree have reported last.
+    """The revisions last reported by the branches of the distribution tree.
 
-    A branch that sends no revisions has the ones that it sent before.
+    A branch is a child VM with the VMs below it. A report without revisions repeats
+    the previous ones.
 
     Args:
       timer: the timer service.
-      kept_s: how long a branch is kept that reports no more.
+      retention_s: how long the last report of a branch is kept.
     """
 
-    def __init__(self, timer: TimerService, kept_s: float) -> None:
+    def __init__(self, timer: TimerService, retention_s: float) -> None:
         self._timer = timer
-        self._kept_s = kept_s
+        self._retention_s = retention_s
         self._branches: dict[str, _Branch] = {}
 
-    def report(self, branch: str, packed: Packed | None) -> bool:
-        """Take a branch's report.
+    def report(self, branch: str, packed: PackedRevisions | None) -> bool:
+        """Record a report of a branch.
 
         Returns:
-          False if the branch has to send its revisions, as none are known.
+          False if the report has no revisions and none are known; the branch then
+          has to send them.
         """
-        self._forget()
+        self._expire()
         known = self._branches.get(branch)
         if packed is not None:
             revisions = unpack_revisions(packed)
@@ -65,16 +67,16 @@
         return True
 
     def revisions(self) -> dict[str, int]:
-        """Return the newest revision that each VM has acknowledged."""
-        self._forget()
+        """Return the highest revision that each VM has acknowledged."""
+        self._expire()
         merged: dict[str, int] = {}
         for branch in self._branches.values():
             for vm, revision in branch.revisions.items():
                 merged[vm] = max(revision, merged.get(vm, 0))
         return merged
 
-    def _forget(self) -> None:
-        oldest_s = self._timer.now_s() - self._kept_s
+    def _expire(self) -> None:
+        oldest_s = self._timer.now_s() - self._retention_s
         for name, branch in list(self._branches.items()):
-            if branch.seen_s < oldest_s:
+            if branch.reported_s < oldest_s:
                 del self._branches[name]
--- a/endivesill/configuration/changes.py
+++ b/endivesill/configuration/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the configuration and the digests that tell two of them apart.
+"""Changes of the configuration, their digests and the change log.
 
-The digest of a whole configuration is the sum of its items' digests, so that a
-change of one item costs one item's work whatever the size of the whole.
+The digest of a configuration is the sum of its items' digests modulo 2**256, so that
+the cost of updating it depends on the size of the change only.
 """
 
 from __future__ import annotations
@@ -31,31 +31,31 @@
 DIGEST_BITS = 256
 DIGEST_MASK = (1 << DIGEST_BITS) - 1
 
-# A larger change is carried as a full copy, not as a delta.
-CHANGE_LOG_LARGEST_KEYS = 1_000
-CHANGE_LOG_KEYS = 20_000
-CHANGE_LOG_REVISIONS = 2_000
+# A larger change is distributed as a full copy instead of a delta.
+MAX_KEYS_PER_LOGGED_CHANGE = 1_000
+MAX_LOGGED_KEYS = 20_000
+MAX_LOGGED_REVISIONS = 2_000
 
 
 @attrs.frozen
 class Change:
-    """New and changed documents by key, and the keys of items that are gone."""
+    """New and changed documents by key, and the keys of removed items."""
 
     changed: Documents = attrs.Factory(dict)
     removed: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
-        """Tell whether anything changes."""
+        """Return whether the change is not empty."""
         return bool(self.changed or self.removed)
 
     @property
-    def touched(self) -> list[str]:
-        """The keys of all items that the change touches."""
+    def touched_keys(self) -> list[str]:
+        """The keys of all changed and removed items."""
         return [*self.changed, *self.removed]
 
 
 def difference(before: Documents, after: Documents) -> Change:
-    """Return the change that turns one set of documents into another."""
+    """Return the change that turns `before` into `after`."""
     changed = {
         key: document
         for key, document in sorted(after.items())
@@ -70,25 +70,25 @@
 
 
 def digest_of_change(change: Change, base_revision: int) -> str:
-    """Return the digest that tells a resent change from another one."""
+    """Return the digest by which a resent change is recognised, in hex."""
     content = [base_revision, change.changed, sorted(change.removed)]
     return hashlib.sha256(_canonical(content)).hexdigest()
 
 
 def item_digest(key: str, document: Document) -> int:
-    """Return the digest of one item."""
+    """Return the digest of an item as an integer."""
     return int.from_bytes(hashlib.sha256(_canonical([key, document])).digest())
 
 
 def updated_digest(
     digest: str, before: Iterable[tuple[str, Document]], after: Documents
 ) -> str:
-    """Return a configuration's digest after some items changed.
+    """Return a configuration's digest after a change, in hex.
 
     Args:
       digest: the digest before the change; the empty string for no items.
-      before: the items touched, as they were.
-      after: the items touched that remain, as they are now.
+      before: keys and documents of the touched items before the change.
+      after: the documents of the touched items after the change, by key.
     """
     total = int(digest or "0", 16)
     for key, document in before:
@@ -99,17 +99,17 @@
 
 
 def digest_of_documents(documents: Documents) -> str:
-    """Return the digest of a whole configuration."""
+    """Return the digest of a whole configuration, in hex."""
     return updated_digest("", (), documents)
 
 
 class ChangeLog:
-    """Which keys changed at which revision, for as far back as it reaches.
+    """A bounded log of the keys that changed at each revision.
 
-    It works on a JSON object, so that the replicated state can hold one.
+    Its content is a JSON object, so that it can be a part of the replicated state.
 
     Args:
-      content: the object, empty at first; it is changed in place.
+      content: the JSON object, initially empty; it is modified in place.
     """
 
     def __init__(self, content: dict[str, Any] | None = None) -> None:
@@ -119,26 +119,30 @@
         self._content.setdefault("keys", 0)
 
     def append(self, revision: int, keys: list[str]) -> None:
-        """Note a change; the oldest ones are forgotten beyond the bounds."""
+        """Append a change; the oldest entries are dropped beyond the bounds."""
         content = self._content
-        if len(keys) > CHANGE_LOG_LARGEST_KEYS:
-            self.restart(revision)
+        if len(keys) > MAX_KEYS_PER_LOGGED_CHANGE:
+            self.reset(revision)
             return
         content["entries"].append([revision, keys])
         content["keys"] += len(keys)
         while (
-            len(content["entries"]) > CHANGE_LOG_REVISIONS
-            or content["keys"] > CHANGE_LOG_KEYS
+            len(content["entries"]) > MAX_LOGGED_REVISIONS
+            or content["keys"] > MAX_LOGGED_KEYS
         ):
-            content["floor"], forgotten = content["entries"].pop(0)
-            content["keys"] -= len(forgotten)
+            content["floor"], dropped_keys = content["entries"].pop(0)
+            content["keys"] -= len(dropped_keys)
 
-    def restart(self, revision: int) -> None:
-        """Forget all; the log reaches back to this revision and no further."""
+    def reset(self, revision: int) -> None:
+        """Drop all entries; the log then starts after this revision."""
         self._content.update(floor=revision, entries=[], keys=0)
 
     def keys_since(self, revision: int) -> list[str] | None:
-        """Return the keys changed after a revision, or None if not known."""
+        """Return the keys changed after a revision.
+
+        Returns:
+          None if the log does not reach back to the revision.
+        """
         if revision < self._content["floor"]:
             return None
         keys: dict[str, None] = {}
--- a/endivesill/configuration/checks.py
+++ b/endivesill/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a change against the state that it would be made to."""
+"""Validation of a change against the state that it applies to."""
 
 from __future__ import annotations
 
@@ -12,14 +12,19 @@
 
 
 def finding(text: str, place: str = "") -> Message:
-    """Return a finding, with the `FILE:LINE` that it belongs to."""
+    """Return a finding as a message.
+
+    Args:
+      text: what is wrong.
+      place: the origin as `FILE:LINE`, or the empty string.
+    """
     file, _, line = place.rpartition(":")
     number = int(line) if line.isdecimal() else 0
     return {"file": file, "line": number, "text": text}
 
 
 def is_well_formed(message: Message) -> bool:
-    """Tell whether the change's parts have the types that the checks need."""
+    """Return whether the parts of a change have the types that the checks need."""
     objects = [*message["changed"].values(), *message["origins"].values()]
     places = [p for o in message["origins"].values() for p in _values_of(o)]
     return all(isinstance(value, dict) for value in objects) and all(
@@ -34,31 +39,37 @@
 def change_findings(
     documents: Documents, change: Change, origins: dict[str, Any]
 ) -> list[Message]:
-    """Check a change against the state that it would be made to."""
+    """Return what is wrong with a change.
+
+    Args:
+      documents: the documents before the change, by key.
+      change: the change.
+      origins: `FILE:LINE` of each value, by key and field.
+    """
     removed = set(change.removed)
 
-    def known(key: str) -> bool:
+    def exists(key: str) -> bool:
         return key in change.changed or (key in documents and key not in removed)
 
     findings: list[Message] = []
     for key, document in sorted(change.changed.items()):
         problems = model.document_findings(key, document)
         if not problems:
-            problems = model.reference_findings(key, document, known)
+            problems = model.reference_findings(key, document, exists)
         place = min(origins.get(key, {}).values(), default="")
         findings.extend(finding(f"{key}: {text}", place) for text in problems)
     if any(key.startswith(("service/", "data-centre/")) for key in removed):
         for key, document in sorted(documents.items()):
             if key in removed or key in change.changed:
                 continue
-            problems = model.reference_findings(key, document, known)
+            problems = model.reference_findings(key, document, exists)
             findings.extend(finding(f"{key}: {text}") for text in problems)
     if not findings:
-        findings = _equal_key_findings(documents, change)
+        findings = _duplicate_key_findings(documents, change)
     return findings
 
 
-def _equal_key_findings(documents: Documents, change: Change) -> list[Message]:
+def _duplicate_key_findings(documents: Documents, change: Change) -> list[Message]:
     hashes = {
         document.get("key_sha256"): key
         for key, document in sorted(change.changed.items(), reverse=True)
--- a/endivesill/configuration/control_replica.py
+++ b/endivesill/configuration/control_replica.py
@@ -1,4 +1,4 @@
-"""The view of a control replica that the configuration's distribution takes."""
+"""Adapter from a control replica to the distribution of the configuration."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ControlReplicaView(ConfigurationReplica):
-    """Reads a running control replica.
+    """A view of the control replica of this VM.
 
     Args:
-      replica: the replica of this VM; it may start later.
+      replica: the control replica; it may be started later.
     """
 
     def __init__(self, replica: ControlReplica) -> None:
@@ -32,7 +32,7 @@
         return max(self._replica.newest_index_of(name) for name in COMMAND_NAMES)
 
     def applied_index(self) -> int:
-        """Return the index up to which the state holds all commands."""
+        """Return the log index up to which commands are applied to the state."""
         return self._replica.applied_index
 
     def state(self) -> State:
@@ -40,10 +40,10 @@
         return self._replica.state
 
     def voters(self) -> VoterSet:
-        """Return the newest voter set in the log, committed or not."""
+        """Return the newest voter set in the log, even if it is not committed."""
         core = self._replica.core
         return VoterSet(core.voters_index, dict(core.voter_set.voters))
 
     def subscribe_applied(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever commands have been applied."""
+        """Call a listener each time commands have been applied."""
         self._replica.subscribe_applied(lambda applied: listener())
--- a/endivesill/configuration/copy.py
+++ b/endivesill/configuration/copy.py
@@ -1,4 +1,4 @@
-"""A VM's copy of the configuration: applied upwards only, passed on as deltas."""
+"""A VM's copy of the configuration, which never goes back to an older revision."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "ConfigurationCopy",
     "CopySnapshot",
     "pack_documents",
-    "page_of",
+    "page_keys",
     "unpack_documents",
 ]
 
@@ -37,18 +37,23 @@
 
 
 def unpack_documents(packed: str) -> Documents:
-    """Return the documents that `pack_documents` packed."""
+    """Return the documents from the form made by `pack_documents`."""
     return json.loads(zlib.decompress(base64.b64decode(packed)))
 
 
-def page_of(keys: Any, after: str) -> list[str]:
-    """Return the keys of the page of a full copy that follows a key."""
+def page_keys(keys: Any, after: str) -> list[str]:
+    """Return the keys of the next page of a full copy.
+
+    Args:
+      keys: the keys of all items.
+      after: the last key of the previous page, or the empty string.
+    """
     return sorted(key for key in keys if key > after)[:PAGE_ITEMS]
 
 
 @attrs.frozen
 class CopySnapshot:
-    """A copy at one revision; its documents are never changed in place."""
+    """The content of a copy at one revision; documents are never modified in place."""
 
     revision: int
     digest: str
@@ -56,13 +61,13 @@
 
 
 class ConfigurationCopy:
-    """The configuration in force on one VM.
+    """The configuration in force on a VM.
 
     Attributes:
       configuration: the typed configuration.
-      documents: its documents by key.
+      documents: the documents by key.
       digest: the digest of the documents.
-      as_of: the log index up to which the documents hold all changes.
+      as_of: the control log index up to which the copy includes all changes.
     """
 
     def __init__(self) -> None:
@@ -78,20 +83,20 @@
         return self.configuration.revision
 
     def snapshot(self) -> CopySnapshot:
-        """Return what the copy holds now."""
+        """Return the current content; its dictionary is a shallow copy."""
         return CopySnapshot(self.revision, self.digest, dict(self.documents))
 
     def confirm(self, revision: int, as_of: int) -> None:
-        """Note that a revision is still the newest at a log index."""
+        """Record that a revision is the newest up to a control log index."""
         if revision == self.revision:
             self.as_of = max(self.as_of, as_of)
 
     def apply(self, delta: Message) -> bool:
-        """Put a newer revision in force.
+        """Apply a delta; one that is not newer only advances `as_of`.
 
         Returns:
-          False if the result does not match the digest of the delta; then
-          nothing was changed.
+          False if the result does not match the digest of the delta; the copy is
+          then unchanged.
         """
         revision = delta["revision"]
         if revision <= self.revision:
@@ -100,7 +105,7 @@
         change = Change(delta["changed"], tuple(delta["removed"]))
         before = [
             (key, self.documents[key])
-            for key in change.touched
+            for key in change.touched_keys
             if key in self.documents
         ]
         digest = updated_digest(self.digest, before, change.changed)
@@ -115,13 +120,13 @@
         self.digest = digest
         self.configuration = configuration
         self.as_of = delta["as_of"]
-        self._change_log.append(revision, change.touched)
+        self._change_log.append(revision, change.touched_keys)
         return True
 
     def replace(
         self, revision: int, as_of: int, documents: Documents, digest: str
     ) -> bool:
-        """Put a full copy in force; see `apply`."""
+        """Replace the content by a full copy; see `apply`."""
         if revision <= self.revision:
             self.confirm(revision, as_of)
             return True
@@ -131,11 +136,11 @@
         self.digest = digest
         self.configuration = Configuration().with_changes(revision, documents, ())
         self.as_of = as_of
-        self._change_log.restart(revision)
+        self._change_log.reset(revision)
         return True
 
     def delta_since(self, revision: int) -> Message | None:
-        """Return the delta from a revision, or None if it is not known."""
+        """Return the delta from a revision, or None if the log does not reach back."""
         keys = self._change_log.keys_since(revision)
         if keys is None:
             return None
@@ -148,8 +153,8 @@
         }
 
     def page(self, after: str) -> Message:
-        """Return one page of a full copy."""
-        keys = page_of(self.documents, after)
+        """Return the page of a full copy that follows the key `after`."""
+        keys = page_keys(self.documents, after)
         return {
             "revision": self.revision,
             "packed": pack_documents({k: self.documents[k] for k in keys}),
--- a/endivesill/configuration/events.py
+++ b/endivesill/configuration/events.py
@@ -1,4 +1,4 @@
-"""Log events of the configuration and the operator port."""
+"""Log events of the distribution of the configuration."""
 
 from endivesill import events
 
@@ -27,13 +27,14 @@
 UPSTREAM_FAILED = events.define(
     5004,
     "configuration-upstream-failed",
-    "The VM that passes the configuration on did not answer; this VM asks the "
-    "control replicas itself for a while.",
+    "The parent in the distribution tree or a control replica did not answer; "
+    "after a failure of the parent, this VM asks the control replicas itself for a "
+    "while.",
 )
 COPY_FETCHED = events.define(
     5005,
     "configuration-copy-fetched",
-    "A full copy was fetched, because the changes known do not reach back.",
+    "A full copy was fetched, because no usable delta was available.",
 )
 COPY_DAMAGED = events.define(
     5006,
--- a/endivesill/configuration/folder.py
+++ b/endivesill/configuration/folder.py
@@ -1,7 +1,7 @@
 """The operators' folder: INI files merged in the order of their names.
 
-A section is `[kind NAME]`. A later file overrides single keys of an earlier
-one; each value keeps the place it came from.
+Each section `[KIND NAME]` defines an item. A later file overrides single keys of an
+earlier one. The origin of each value is kept as file and line.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @attrs.frozen
 class Folder:
-    """A folder that was read and checked.
+    """The valid content of a folder.
 
     Attributes:
-      documents: the items' documents by key, such as `service/plan-llm`.
+      documents: the documents by key, such as `service/plan-llm`.
       origins: file and line of each value, by key and field.
     """
 
@@ -42,11 +42,11 @@
     origins: dict[str, dict[str, tuple[str, int]]]
 
     def change_from(self, documents: dict[str, dict[str, Any]]) -> Change:
-        """Return what turns other documents into the folder's."""
+        """Return the change that turns other documents into those of the folder."""
         return difference(documents, self.documents)
 
     def origin_texts(self, key: str) -> dict[str, str]:
-        """Return `FILE:LINE` of each value of an item, without the folder."""
+        """Return `FILE:LINE` of each value of an item, without the folder's path."""
         return {
             field: f"{pathlib.PurePath(file).name}:{line}"
             for field, (file, line) in self.origins.get(key, {}).items()
@@ -54,10 +54,10 @@
 
 
 def read_folder(path: str) -> Folder:
-    """Read, merge and check all `*.ini` files of a folder.
+    """Read, merge and validate all `*.ini` files of a folder.
 
     Raises:
-      FindingsError: with every finding, each with file and line.
+      FindingsError: the folder is invalid; has all findings with file and line.
     """
     folder = pathlib.Path(path)
     if not folder.is_dir():
@@ -81,10 +81,10 @@
 def merge_sections(
     sections: list[IniSection], findings: list[Finding] | None = None
 ) -> Folder:
-    """Merge sections in their order and check the whole.
+    """Merge sections in order and validate the result.
 
     Raises:
-      FindingsError: with the findings given and all others.
+      FindingsError: there are findings; has the given ones and all others.
     """
     findings = list(findings or [])
     merged: dict[str, IniSection] = {}
@@ -108,7 +108,7 @@
         findings.extend(item_findings)
         if item is not None:
             documents[key] = model.item_to_document(item)
-    findings.extend(_whole_findings(documents, merged))
+    findings.extend(_cross_item_findings(documents, merged))
     if findings:
         raise errors.FindingsError(sorted(findings))
     origins = {
@@ -118,10 +118,10 @@
     return Folder(documents, origins)
 
 
-def _whole_findings(
+def _cross_item_findings(
     documents: dict[str, dict[str, Any]], merged: dict[str, IniSection]
 ) -> list[Finding]:
-    """Return what is wrong between items; an item at fault still counts as known."""
+    """Return what is wrong between items; references to invalid items are valid."""
     findings = []
     owners: dict[str, str] = {}
     for key, document in documents.items():
@@ -138,7 +138,11 @@
 
 
 def read_base_revision(path: str) -> int | None:
-    """Return the revision that a folder was made from, or None if not known."""
+    """Return the revision that a folder is based on, or None without the file.
+
+    Raises:
+      FindingsError: the file cannot be read or has no revision.
+    """
     file = pathlib.Path(path) / BASE_REVISION_FILE
     try:
         return int(file.read_text(encoding="utf-8"))
@@ -149,6 +153,6 @@
 
 
 def write_base_revision(path: str, revision: int) -> None:
-    """Note the revision that a folder now stands for."""
+    """Write the revision that a folder is based on."""
     file = pathlib.Path(path) / BASE_REVISION_FILE
     file.write_text(f"{revision}\n", encoding="utf-8")
--- a/endivesill/configuration/model.py
+++ b/endivesill/configuration/model.py
@@ -1,7 +1,7 @@
 """The configuration: typed items by kind and name, with a revision.
 
-An item is one attrs object, such as a service or a target. Its document (a JSON
-object) is what the control log and the deltas carry, keyed by `kind/name`.
+An item, such as a service or a target, is an attrs object. The control log and the
+deltas carry its document, a JSON object with the key `kind/name`.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def item_kind(name: str) -> Callable[[type[T]], type[T]]:
-    """Register an attrs class as the item `[name NAME]` of the folder."""
+    """Register an attrs class as the kind of the sections `[name NAME]`."""
 
     def register(kind: type[T]) -> type[T]:
         ITEM_KINDS[name] = kind
@@ -54,18 +54,21 @@
     path_prefix: str
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a call falls under the pattern."""
+        """Return whether a call matches the pattern.
+
+        The prefix matches whole path segments only.
+        """
         if self.method not in ("*", method):
             return False
         prefix = self.path_prefix.rstrip("/")
         return path == prefix or path.startswith(prefix + "/")
 
 
-def _check_calls(words: tuple[str, ...]) -> str | None:
-    for word in words:
-        method, _, path = word.partition(":")
+def _check_calls(calls: tuple[str, ...]) -> str | None:
+    for call in calls:
+        method, _, path = call.partition(":")
         if not method or not path.startswith("/"):
-            return f"{word!r} is not METHOD:/PATH"
+            return f"{call!r} is not METHOD:/PATH"
     return None
 
 
@@ -90,7 +93,7 @@
 @item_kind("data-centre")
 @attrs.frozen
 class DataCentre:
-    """A data centre; one that is taken out gets no new work."""
+    """A data centre; one that is taken out of service gets no new work."""
 
     name: str
     region: str = schema.field("region of the data centre")
@@ -110,12 +113,10 @@
 @item_kind("service")
 @attrs.frozen
 class Service:
-    """What callers ask for: a model (protocol engine) or a plain service."""
+    """A service for callers: a model (protocol `engine`) or a plain service."""
 
     name: str
-    protocol: str = schema.field(
-        "how its targets are spoken to", choices=("engine", "plain")
-    )
+    protocol: str = schema.field("protocol of its targets", choices=("engine", "plain"))
     path_prefix: str = schema.field(
         "callers' path prefix of a plain service", default="", check=_check_path
     )
@@ -123,13 +124,13 @@
         "longest wait for the first byte", default=30.0, minimum=0.1, maximum=3600
     )
     gap_target_ms: float = schema.field(
-        "time between tokens that 95 in 100 stay under",
+        "p95 objective for the time between tokens",
         default=71.0,
         minimum=1,
         maximum=10_000,
     )
     first_token_target_ms: float = schema.field(
-        "time to the first token that 95 in 100 stay under",
+        "p95 objective for the time to the first token",
         default=880.0,
         minimum=1,
         maximum=600_000,
@@ -141,10 +142,13 @@
         maximum=9,
     )
     queue_limit: int = schema.field(
-        "requests that wait at one entry", default=200, minimum=0, maximum=100_000
+        "largest number of requests queued at one entry",
+        default=200,
+        minimum=0,
+        maximum=100_000,
     )
     prior_output_tokens: int = schema.field(
-        "expected output length before any is known",
+        "expected output length while none has been observed",
         default=300,
         minimum=1,
         maximum=1_000_000,
@@ -157,7 +161,7 @@
     routing_policy: str = schema.field("name of the routing policy", default="credit")
 
     def is_repeatable(self, method: str, path: str) -> bool:
-        """Tell whether a call may be sent again after an unknown outcome."""
+        """Return whether a call may be retried after an unknown outcome."""
         patterns = (word.partition(":") for word in self.non_repeatable)
         return not any(
             CallPattern(verb, prefix).matches(method, path)
@@ -176,38 +180,40 @@
     data_centre: str = schema.field("data centre that the target is in")
     leaving: bool = schema.field("gets no new work", default=False)
     checks_fencing: bool = schema.field(
-        "the target refuses orders with an old fencing token", default=False
+        "the target refuses orders with an outdated fencing token", default=False
     )
     cold_slots: int = schema.field(
-        "requests at once that it bears in cold start", default=2, minimum=1
+        "concurrent requests that it can run during a cold start", default=2, minimum=1
     )
     maximum_slots: int = schema.field(
-        "requests at once that it bears when warm", default=64, minimum=1
+        "concurrent requests that it can run when warm", default=64, minimum=1
     )
     memory_tokens: int = schema.field(
-        "tokens that its memory holds; 0 for a plain service", default=0, minimum=0
+        "capacity of its KV cache in tokens; 0 for a plain service",
+        default=0,
+        minimum=0,
     )
 
 
 @item_kind("organisation")
 @attrs.frozen
 class Organisation:
-    """A customer's organisation, known by the hash of its key."""
+    """A customer's organisation, identified by the hash of its API key."""
 
     name: str
-    key_sha256: str = schema.field("SHA-256 of its key, in hex", check=_check_hash)
+    key_sha256: str = schema.field("SHA-256 of its API key, in hex", check=_check_hash)
     weight: float = schema.field(
-        "share in the queues", default=1.0, minimum=0.01, maximum=1000
+        "weight in fair queuing", default=1.0, minimum=0.01, maximum=1000
     )
     maximum_requests: int = schema.field(
-        "requests at once at one entry", default=200, minimum=1, maximum=100_000
+        "concurrent requests at one entry", default=200, minimum=1, maximum=100_000
     )
 
 
 @item_kind("limits")
 @attrs.frozen
 class Limits:
-    """Bounds on what callers send; one item named `default`."""
+    """Limits on requests of callers; a single item named `default`."""
 
     name: str
     body_bytes: int = schema.field(
@@ -220,13 +226,13 @@
         "longest time for a request body", default=10.0, minimum=0.1, maximum=600
     )
     slow_reader_s: float = schema.field(
-        "longest time that a caller may leave an answer unread",
+        "longest time that a caller may leave response data unread",
         default=30.0,
         minimum=0.1,
         maximum=3600,
     )
     idempotency_age_s: float = schema.field(
-        "how long answers of idempotency keys are kept",
+        "how long answers for idempotency keys are kept",
         default=86_400.0,
         minimum=60,
         maximum=2_592_000,
@@ -235,7 +241,7 @@
         "how many idempotency keys are kept", default=100_000, minimum=100
     )
     weight_store_loads_per_minute: float = schema.field(
-        "weight loads that a data centre may start in a minute",
+        "weight loads that a data centre may start per minute",
         default=6.0,
         minimum=0.1,
         maximum=10_000,
@@ -255,7 +261,7 @@
     limits: Limits = attrs.Factory(lambda: Limits("default"))
 
     def takes_new_work(self, target: Target) -> bool:
-        """Tell whether operators let a target have new work."""
+        """Return whether the configuration allows new work for a target."""
         data_centre = self.data_centres.get(target.data_centre)
         if target.leaving or data_centre is None:
             return False
@@ -267,20 +273,20 @@
         changed: dict[str, dict[str, Any]],
         removed: Iterable[str],
     ) -> Configuration:
-        """Return the configuration after a change; this one stays as it is.
+        """Return the configuration after a change; this one is not modified.
 
         Args:
           revision: the revision after the change.
           changed: the documents of new and changed items by key.
-          removed: the keys of items that are gone.
+          removed: the keys of removed items.
         """
         collections: dict[str, dict[str, Any]] = {}
         limits = self.limits
         for key, document in [*((k, None) for k in removed), *changed.items()]:
             kind, _, name = key.partition("/")
             if kind == "limits":
-                found = Limits("default") if document is None else None
-                limits = found or item_from_document(key, document or {})
+                default_limits = Limits("default") if document is None else None
+                limits = default_limits or item_from_document(key, document or {})
                 continue
             field = _COLLECTIONS.get(kind)
             if field is None:
@@ -295,7 +301,7 @@
         return attrs.evolve(self, revision=revision, limits=limits, **collections)
 
 
-# The kinds that an item of a kind names in its fields.
+# The kinds of items that an item refers to in its fields, by its own kind.
 REFERENCES: dict[str, tuple[str, ...]] = {
     "target": ("service", "data-centre"),
     "vm": ("data-centre",),
@@ -311,7 +317,7 @@
 
 
 def item_to_document(item: Any) -> dict[str, Any]:
-    """Return an item's document, without its name and its defaults."""
+    """Return an item's document, without its name and values equal to the default."""
     document = {}
     for attribute in attrs.fields(type(item)):
         value = getattr(item, attribute.name)
@@ -322,7 +328,7 @@
 
 
 def item_from_document(key: str, document: dict[str, Any]) -> Any:
-    """Return the item of a key and document; unknown fields are left out."""
+    """Return the item of a key and document; unknown fields are ignored."""
     kind_name, _, name = key.partition("/")
     kind = ITEM_KINDS[kind_name]
     known = {a.name for a in attrs.fields(kind)}
@@ -342,7 +348,7 @@
 
 
 def document_findings(key: str, document: dict[str, Any]) -> list[str]:
-    """Return what is wrong in one document by itself."""
+    """Return what is wrong within one document."""
     kind_name, _, name = key.partition("/")
     kind = ITEM_KINDS.get(kind_name)
     if kind is None or not name:
@@ -353,25 +359,25 @@
 
 
 def reference_findings(
-    key: str, document: dict[str, Any], known: Callable[[str], bool]
+    key: str, document: dict[str, Any], exists: Callable[[str], bool]
 ) -> list[str]:
-    """Return what an item refers to in vain.
+    """Return the dangling references of an item and missing required fields.
 
     Args:
       key: the item's key.
       document: its document.
-      known: tells whether there is an item of a key.
+      exists: returns whether there is an item with a key.
     """
     kind, _, name = key.partition("/")
-    found = []
+    findings = []
     for referenced in REFERENCES.get(kind, ()):
         value = document.get(referenced.replace("-", "_"))
-        if value is not None and not known(f"{referenced}/{value}"):
-            words = referenced.replace("-", " ")
-            found.append(f"{kind} {name}: no {words} {value}")
+        if value is not None and not exists(f"{referenced}/{value}"):
+            label = referenced.replace("-", " ")
+            findings.append(f"{kind} {name}: no {label} {value}")
     if kind == "service" and document.get("protocol") == "plain":
-        found.extend(_plain_service_findings(name, document))
-    return found
+        findings.extend(_plain_service_findings(name, document))
+    return findings
 
 
 def _plain_service_findings(name: str, document: dict[str, Any]) -> list[str]:
--- a/endivesill/configuration/named.py
+++ b/endivesill/configuration/named.py
@@ -1,4 +1,4 @@
-"""The configuration source that other services look up when they need it."""
+"""A configuration source that is looked up by name when it is used."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class NamedConfigurationSource(ConfigurationSource):
-    """Finds the kernel's configuration service at each call.
+    """Looks up the kernel's configuration service at each call.
 
-    Membership and configuration need each other; this lets either be built
-    first.
+    Membership and configuration depend on each other; the late look-up allows
+    either to be created first.
 
     Args:
-      kernel: the kernel that holds the service.
+      kernel: the kernel with the service.
       name: the service's name.
     """
 
@@ -29,11 +29,11 @@
         return self._kernel.find(self._name, ConfigurationSource)
 
     def current(self) -> Configuration:
-        """Return the newest configuration known."""
+        """Return the newest known configuration."""
         return self._source().current()
 
     def holds_lease(self) -> bool:
-        """Tell whether new work may start now."""
+        """Return whether new work may start now."""
         return self._source().holds_lease()
 
     def subscribe(self, listener: Listener) -> None:
--- a/endivesill/configuration/probe.py
+++ b/endivesill/configuration/probe.py
@@ -1,9 +1,10 @@
-"""Questions to all control replicas, and the lease that a majority confirms.
+"""Probes of the control replicas and the lease that a majority confirms.
 
-A replica's answer says the newest configuration command in its log, committed
-or not. Once a majority has answered that it has none newer than the copy, no
-newer one can have been committed when the questions were sent: its majority
-would share a replica with this one. The lease counts from the sending.
+A replica answers with the index of the newest configuration command in its log, even
+if that is not committed. Once a majority has answered that it has none newer than the
+copy, no newer one was committed when the probes were sent: the majority of that commit
+would share a replica with this one. The lease therefore starts when the oldest of
+these probes was sent.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 import attrs
 
 from endivesill import errors
-from endivesill.configuration.acknowledgements import Packed
+from endivesill.configuration.acknowledgements import PackedRevisions
 from endivesill.configuration.copy import ConfigurationCopy
-from endivesill.configuration.lease import LEASE_S, PROBE_MARGIN_S
+from endivesill.configuration.lease import LEASE_S, PROBE_TIMEOUT_MARGIN_S
 from endivesill.configuration.replica import PROBE_PATH, VoterSet
 from endivesill.peers import Message, PeerTransport
 from endivesill.timer import TimerService
@@ -32,14 +33,14 @@
 
 
 class MajorityProbe:
-    """Asks the control replicas; it never has two questions at one replica.
+    """Probes the control replicas, with at most one probe in flight per replica.
 
     Args:
       timer: the timer service.
       transport: the peer transport.
-      vm_name: the asking VM.
-      control_addresses: the control VMs of the settings, for the first question.
-      copy: the copy that the answers are compared with.
+      vm_name: the name of this VM.
+      control_addresses: the control VMs of the settings, for the first probes.
+      copy: the copy of the configuration that the answers are compared with.
     """
 
     def __init__(
@@ -57,22 +58,22 @@
         self._copy = copy
         self._voters = VoterSet()
         self._answers: dict[str, _Answer] = {}
-        self._busy: dict[str, asyncio.Task[None]] = {}
+        self._in_flight: dict[str, asyncio.Task[None]] = {}
         self._failed: set[str] = set()
-        self._acks_sent: dict[str, Packed] = {}
-        self._changed = asyncio.Event()
-        self.newer_address: str | None = None
+        self._acks_sent: dict[str, PackedRevisions] = {}
+        self._probe_ended = asyncio.Event()
+        self.newer_revision_address: str | None = None
 
     def addresses(self) -> tuple[str, ...]:
-        """Return the peer addresses of the control VMs, as far as known."""
+        """Return the known peer addresses of the control VMs, voters first."""
         known = dict.fromkeys(self._voters.addresses.values())
         return tuple(known | dict.fromkeys(self._control_addresses))
 
     def lease_start_s(self) -> float | None:
-        """Return since when a majority confirms the copy, or None.
+        """Return the start of the lease, or None without a confirming majority.
 
-        It is the sending time of the oldest question among the newest majority
-        of the answers that know of nothing newer than the copy.
+        It is the time at which the oldest probe of the newest majority of confirming
+        answers was sent. An answer confirms if it reports nothing newer than the copy.
         """
         starts = sorted(
             (
@@ -87,67 +88,72 @@
             return None
         return starts[self._voters.majority - 1]
 
-    async def ask(self, hold_s: float, acks: Packed) -> None:
-        """Ask until a majority confirms, a replica has news, or all have failed.
+    async def run_round(self, hold_s: float, acks: PackedRevisions) -> None:
+        """Probe until a majority confirms, a replica has a newer revision or all fail.
 
-        A question that may be held goes to a majority only, and to the others
-        once one of these has failed; a question without a hold goes to all.
+        With a hold, only a majority is probed, and further replicas when one of it
+        fails; without a hold, all replicas are probed.
 
         Args:
-          hold_s: how long the replicas may hold the question.
+          hold_s: how long the replicas may hold their answers.
           acks: the acknowledgements to report.
         """
         started_s = self._timer.now_s()
-        deadline_s = started_s + hold_s + PROBE_MARGIN_S
-        self.newer_address = None
-        asked: set[str] = set()
-        while self.newer_address is None:
-            self._changed.clear()
-            for address in self._wanted(asked, held=hold_s > 0):
-                if address not in self._busy:
-                    asked.add(address)
-                    self._start(address, hold_s, acks)
+        deadline_s = started_s + hold_s + PROBE_TIMEOUT_MARGIN_S
+        self.newer_revision_address = None
+        probed: set[str] = set()
+        while self.newer_revision_address is None:
+            self._probe_ended.clear()
+            for address in self._addresses_to_probe(probed, may_hold=hold_s > 0):
+                if address not in self._in_flight:
+                    probed.add(address)
+                    self._start_probe(address, hold_s, acks)
             lease_start_s = self.lease_start_s()
             if lease_start_s is not None and lease_start_s >= started_s:
                 return
             left_s = deadline_s - self._timer.now_s()
-            if left_s <= 0 or not self._busy:
+            if left_s <= 0 or not self._in_flight:
                 return
             try:
-                await self._timer.wait_for(self._changed.wait(), left_s)
+                await self._timer.wait_for(self._probe_ended.wait(), left_s)
             except errors.DeadlineExceededError:
                 return
 
-    def _wanted(self, asked: set[str], *, held: bool) -> list[str]:
-        """Return the control VMs that are still to be asked in a round."""
-        waiting = [a for a in self.addresses() if a not in asked]
-        if not held or not self._voters.addresses:
-            return waiting
-        useful = len(asked - self._failed)
-        waiting.sort(key=self._preference)
-        return waiting[: max(0, self._voters.majority - useful)]
-
-    def _preference(self, address: str) -> tuple[bool, bool, bytes]:
-        """Rank voters that answer first; each VM has an order of its own."""
+    def _addresses_to_probe(self, probed: set[str], *, may_hold: bool) -> list[str]:
+        """Return the control VMs that are still to be probed in this round."""
+        unprobed = [a for a in self.addresses() if a not in probed]
+        if not may_hold or not self._voters.addresses:
+            return unprobed
+        usable = len(probed - self._failed)
+        unprobed.sort(key=self._priority)
+        return unprobed[: max(0, self._voters.majority - usable)]
+
+    def _priority(self, address: str) -> tuple[bool, bool, bytes]:
+        """Return a sort key: voters first, failed addresses last among equals.
+
+        The order among these differs between VMs.
+        """
         is_voter = address in self._voters.addresses.values()
-        place = hashlib.sha256(f"{self._vm_name} {address}".encode()).digest()
-        return not is_voter, address in self._failed, place
+        shuffle_key = hashlib.sha256(f"{self._vm_name} {address}".encode()).digest()
+        return not is_voter, address in self._failed, shuffle_key
 
     def close(self) -> None:
-        """Give up all questions."""
-        for task in self._busy.values():
+        """Cancel all probes."""
+        for task in self._in_flight.values():
             task.cancel()
 
-    def _start(self, address: str, hold_s: float, acks: Packed) -> None:
-        task = asyncio.ensure_future(self._ask_one(address, hold_s, acks))
-        self._busy[address] = task
-        task.add_done_callback(lambda _: self._finished(address))
+    def _start_probe(self, address: str, hold_s: float, acks: PackedRevisions) -> None:
+        task = asyncio.ensure_future(self._probe_replica(address, hold_s, acks))
+        self._in_flight[address] = task
+        task.add_done_callback(lambda _: self._on_probe_done(address))
 
-    def _finished(self, address: str) -> None:
-        self._busy.pop(address, None)
-        self._changed.set()
+    def _on_probe_done(self, address: str) -> None:
+        self._in_flight.pop(address, None)
+        self._probe_ended.set()
 
-    async def _ask_one(self, address: str, hold_s: float, acks: Packed) -> None:
+    async def _probe_replica(
+        self, address: str, hold_s: float, acks: PackedRevisions
+    ) -> None:
         voters = self._voters
         message: Message = {
             "vm": self._vm_name,
@@ -159,8 +165,12 @@
             message["acks"] = acks
         sent_s = self._timer.now_s()
         try:
-            answer = await call(
-                self._transport, address, PROBE_PATH, message, hold_s + PROBE_MARGIN_S
+            answer = await call_peer(
+                self._transport,
+                address,
+                PROBE_PATH,
+                message,
+                hold_s + PROBE_TIMEOUT_MARGIN_S,
             )
         except errors.PeerUnreachableError:
             self._failed.add(address)
@@ -172,19 +182,19 @@
         if "voters" in answer:
             voters = VoterSet(answer["voters_index"], answer["voters"])
         self._answers[answer["id"]] = _Answer(sent_s, answer["newest"], voters)
-        self._take(address, answer)
+        self._apply_answer(address, answer)
 
-    def _take(self, address: str, answer: Message) -> None:
+    def _apply_answer(self, address: str, answer: Message) -> None:
         self._voters = self._newest_voters()
         self._copy.confirm(answer["revision"], answer["applied"])
         if answer["revision"] > self._copy.revision:
-            self.newer_address = address
+            self.newer_revision_address = address
 
     def _newest_voters(self) -> VoterSet:
-        """Return the newest voters among the answers that can give a lease.
+        """Return the newest voter set among the recent answers.
 
-        A voter change that was never committed is forgotten with the answers
-        that named it.
+        A voter set that was never committed is dropped when the answers that reported
+        it expire.
         """
         oldest_s = self._timer.now_s() - 2 * LEASE_S
         recent = [a for a in self._answers.values() if a.sent_s >= oldest_s]
@@ -193,17 +203,17 @@
         return max(recent, key=lambda answer: answer.voters.index).voters
 
 
-async def call(
+async def call_peer(
     transport: PeerTransport,
     address: str,
     path: str,
     message: Message,
     timeout_s: float,
 ) -> Message:
-    """Call a peer; a VM that is its own peer needs no network.
+    """Call a peer; a call to this VM itself bypasses the network.
 
     Raises:
-      PeerUnreachableError: no answer in time.
+      PeerUnreachableError: the peer did not answer within the timeout.
     """
     if address == transport.address and path in transport.handlers:
         return await transport.handlers[path](message)
--- a/endivesill/configuration/replica.py
+++ b/endivesill/configuration/replica.py
@@ -1,7 +1,7 @@
-"""What a control replica tells the VMs about the configuration.
+"""The service of a control replica that distributes the configuration to VMs.
 
-Each replica answers by itself, from its own log and state: a majority of such
-answers is what the configuration lease rests on.
+Each replica answers from its own log and state, without coordination. The
+configuration lease requires the answers of a majority.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
     Acknowledgements,
     pack_revisions,
 )
-from endivesill.configuration.copy import PAGE_ITEMS, pack_documents, page_of
-from endivesill.configuration.lease import ACKNOWLEDGEMENT_KEPT_S, HOLD_S
+from endivesill.configuration.copy import PAGE_ITEMS, pack_documents, page_keys
+from endivesill.configuration.lease import ACKNOWLEDGEMENT_RETENTION_S, MAX_HOLD_S
 from endivesill.configuration.state import ConfigurationState
 from endivesill.control.commands import CommandContext, State, run_command
 from endivesill.kernel import Service
@@ -30,7 +30,7 @@
     "PROBE_PATH",
     "ConfigurationReplica",
     "MemoryReplica",
-    "ReplicaPort",
+    "ReplicaEndpoint",
     "VoterSet",
 ]
 
@@ -42,10 +42,10 @@
 
 @attrs.frozen
 class VoterSet:
-    """The voting replicas, as of an index of the log.
+    """The voting replicas at an index of the log.
 
     Attributes:
-      index: the log index of the newest voter change that was appended.
+      index: the log index of the newest voter change in the log.
       addresses: the peer address of each voter by replica identity.
     """
 
@@ -54,15 +54,15 @@
 
     @property
     def majority(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that make a majority."""
         return len(self.addresses) // 2 + 1
 
 
 class ConfigurationReplica:
-    """Base of the views of a control replica.
+    """Base class of the views of a control replica.
 
     Attributes:
-      replica_id: the replica's identity, another one after a lost disk.
+      replica_id: the replica's identity, which changes if its disk is lost.
     """
 
     replica_id: str
@@ -70,12 +70,12 @@
     def newest_index(self) -> int:
         """Return the index of the newest configuration command in the log.
 
-        It counts commands that are not committed yet.
+        Commands that are not committed yet are included.
         """
         raise NotImplementedError
 
     def applied_index(self) -> int:
-        """Return the index up to which the state holds all commands."""
+        """Return the log index up to which commands are applied to the state."""
         raise NotImplementedError
 
     def state(self) -> State:
@@ -83,16 +83,16 @@
         raise NotImplementedError
 
     def voters(self) -> VoterSet:
-        """Return the newest voter set in the log, committed or not."""
+        """Return the newest voter set in the log, even if it is not committed."""
         raise NotImplementedError
 
     def subscribe_applied(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever commands have been applied."""
+        """Call a listener each time commands have been applied."""
         raise NotImplementedError
 
 
 class MemoryReplica(ConfigurationReplica):
-    """A replica for tests and benches, whose log is driven by hand.
+    """A replica for tests and benchmarks, whose log is controlled by the caller.
 
     Args:
       replica_id: its identity.
@@ -108,11 +108,11 @@
         self._listeners: list[Callable[[], None]] = []
 
     def append(self, command: str, message: Message, context: CommandContext) -> None:
-        """Append a command, which is not applied yet."""
+        """Append a command without applying it."""
         self._log.append((command, message, context))
 
     def apply_all(self) -> Message:
-        """Apply what was appended; return the last result."""
+        """Apply all appended commands and return the last result."""
         result: Message = {}
         for command, message, context in self._log[self._applied :]:
             result = run_command(self._state, command, message, context)
@@ -142,13 +142,13 @@
         self._listeners.append(listener)
 
 
-class ReplicaPort(Service):
-    """Answers the VMs' questions at a control replica.
+class ReplicaEndpoint(Service):
+    """Answers the probes and fetches of VMs at a control replica.
 
     Args:
       timer: the timer service.
-      transport: the peer transport; its paths `/configuration/...` are taken.
-      replica: the replica.
+      transport: the peer transport; handlers are registered at `/configuration/...`.
+      replica: the view of the replica.
     """
 
     def __init__(
@@ -159,88 +159,88 @@
     ) -> None:
         self._timer = timer
         self._replica = replica
-        self._acknowledgements = Acknowledgements(timer, ACKNOWLEDGEMENT_KEPT_S)
-        self._held: dict[asyncio.Future[None], int] = {}
-        transport.handle(PROBE_PATH, self._probe)
-        transport.handle(DELTA_PATH, self._delta)
-        transport.handle(PAGE_PATH, self._page)
-        transport.handle(ACKNOWLEDGED_PATH, self._acknowledged)
-        replica.subscribe_applied(self._release)
+        self._acknowledgements = Acknowledgements(timer, ACKNOWLEDGEMENT_RETENTION_S)
+        self._waiters: dict[asyncio.Future[None], int] = {}
+        transport.handle(PROBE_PATH, self._handle_probe)
+        transport.handle(DELTA_PATH, self._handle_delta)
+        transport.handle(PAGE_PATH, self._handle_page)
+        transport.handle(ACKNOWLEDGED_PATH, self._handle_acknowledged)
+        replica.subscribe_applied(self._wake_waiters)
 
     async def stop(self) -> None:
-        """Answer everyone that is held."""
-        for future in list(self._held):
-            _finish(future)
+        """Answer all held probes."""
+        for future in list(self._waiters):
+            _wake(future)
 
-    def _store(self) -> ConfigurationState:
+    def _current_state(self) -> ConfigurationState:
         return ConfigurationState.readable(self._replica.state())
 
-    def _newest(self) -> int:
-        return max(self._replica.newest_index(), self._store().last_index)
+    def _newest_index(self) -> int:
+        return max(self._replica.newest_index(), self._current_state().last_index)
 
-    async def _probe(self, message: Message) -> Message:
-        """Answer with the newest index; held while there is nothing newer."""
-        known = self._acknowledgements.report(message["vm"], message.get("acks"))
-        hold_s = min(float(message.get("hold_s", 0.0)), HOLD_S)
-        if hold_s > 0 and self._store().last_index <= message["as_of"]:
-            await self._hold(message["as_of"], hold_s)
+    async def _handle_probe(self, message: Message) -> Message:
+        """Answer a probe; hold it (long poll) while there is no newer revision."""
+        has_acks = self._acknowledgements.report(message["vm"], message.get("acks"))
+        hold_s = min(float(message.get("hold_s", 0.0)), MAX_HOLD_S)
+        if hold_s > 0 and self._current_state().last_index <= message["as_of"]:
+            await self._wait_for_newer(message["as_of"], hold_s)
         voters = self._replica.voters()
         answer = {
             "id": self._replica.replica_id,
-            "newest": self._newest(),
+            "newest": self._newest_index(),
             "applied": self._replica.applied_index(),
-            "revision": self._store().revision,
+            "revision": self._current_state().revision,
         }
         if voters.index != message.get("voters_index"):
             answer["voters"] = voters.addresses
             answer["voters_index"] = voters.index
-        if not known:
+        if not has_acks:
             answer["acks_wanted"] = True
         return answer
 
-    async def _hold(self, as_of: int, hold_s: float) -> None:
+    async def _wait_for_newer(self, as_of: int, hold_s: float) -> None:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._held[future] = as_of
-        handle = self._timer.call_after(hold_s, lambda: _finish(future))
+        self._waiters[future] = as_of
+        handle = self._timer.call_after(hold_s, lambda: _wake(future))
         try:
             await future
         finally:
             handle.cancel()
-            del self._held[future]
+            del self._waiters[future]
 
-    def _release(self) -> None:
-        newest = self._store().last_index
-        for future, as_of in list(self._held.items()):
+    def _wake_waiters(self) -> None:
+        newest = self._current_state().last_index
+        for future, as_of in list(self._waiters.items()):
             if as_of < newest:
-                _finish(future)
+                _wake(future)
 
-    async def _delta(self, message: Message) -> Message:
-        store = self._store()
-        keys = store.keys_since(message["since"])
+    async def _handle_delta(self, message: Message) -> Message:
+        configuration = self._current_state()
+        keys = configuration.keys_since(message["since"])
         if keys is None:
             return {"full": True}
-        changed = dict(store.effective_documents(keys))
+        changed = dict(configuration.effective_documents(keys))
         return {
-            "revision": store.revision,
+            "revision": configuration.revision,
             "as_of": self._replica.applied_index(),
-            "digest": store.digest,
+            "digest": configuration.digest,
             "changed": changed,
             "removed": [key for key in keys if key not in changed],
         }
 
-    async def _page(self, message: Message) -> Message:
-        store = self._store()
-        keys = page_of(store.documents, message["after"])
+    async def _handle_page(self, message: Message) -> Message:
+        configuration = self._current_state()
+        keys = page_keys(configuration.documents, message["after"])
         return {
-            "revision": store.revision,
-            "packed": pack_documents(dict(store.effective_documents(keys))),
+            "revision": configuration.revision,
+            "packed": pack_documents(dict(configuration.effective_documents(keys))),
             "last": keys[-1] if len(keys) == PAGE_ITEMS else "",
         }
 
-    async def _acknowledged(self, message: Message) -> Message:
+    async def _handle_acknowledged(self, message: Message) -> Message:
         return {"acks": pack_revisions(self._acknowledgements.revisions())}
 
 
-def _finish(future: asyncio.Future[None]) -> None:
+def _wake(future: asyncio.Future[None]) -> None:
     if not future.done():
         future.set_result(None)
--- a/endivesill/configuration/source.py
+++ b/endivesill/configuration/source.py
@@ -1,6 +1,7 @@
-"""Where the other services get the configuration in force from.
+"""The interface through which other services read the configuration.
 
-`ConfigurationSource` is the base; `FixedConfiguration` is the sibling for tests.
+`ConfigurationSource` is the base class; `FixedConfiguration` is an implementation for
+tests.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 
 
 class ConfigurationSource(Service):
-    """Base of the sources of the configuration."""
+    """Base class of the sources of the configuration."""
 
     def __init__(self) -> None:
         self._listeners: list[Listener] = []
 
     def current(self) -> Configuration:
-        """Return the newest configuration known; its revision never goes back."""
+        """Return the newest known configuration; its revision never decreases."""
         raise NotImplementedError
 
     def holds_lease(self) -> bool:
-        """Tell whether new work may start now.
+        """Return whether new work may start now.
 
-        It is true while a majority of the control replicas has confirmed, a few
-        seconds ago at most, that the current revision is the newest. It must be
-        asked after the last wait before the first byte goes out.
+        This is so for a few seconds after a majority of the control replicas has
+        confirmed that the current revision is the newest. The caller has to check it
+        without waiting between the check and the first byte that it sends.
         """
         raise NotImplementedError
 
@@ -44,7 +45,11 @@
 
 
 class FixedConfiguration(ConfigurationSource):
-    """A configuration that a test sets, with a lease that it can take away."""
+    """A configuration for tests.
+
+    Attributes:
+      lease: what `holds_lease` returns.
+    """
 
     def __init__(self, configuration: Configuration) -> None:
         super().__init__()
@@ -52,14 +57,14 @@
         self.lease = True
 
     def current(self) -> Configuration:
-        """Return what was set last."""
+        """Return the configuration that was set last."""
         return self._configuration
 
     def holds_lease(self) -> bool:
-        """Return what the test wants."""
+        """Return `lease`."""
         return self.lease
 
     def replace(self, configuration: Configuration) -> None:
-        """Set another configuration."""
+        """Replace the configuration and notify the listeners."""
         self._configuration = configuration
         self._notify(configuration)
--- a/endivesill/configuration/state.py
+++ b/endivesill/configuration/state.py
@@ -1,9 +1,9 @@
 """The configuration in the replicated state: its commands and queries.
 
-The state keeps two layers: the documents of the operators' folder, and the
-overlays that single changes (a data centre taken out, a target leaving) have
-set. An overlay stays until it is undone, whatever the folder says meanwhile.
-Both layers together are the configuration in force, under one revision.
+The state has two layers: the documents of the operators' folder, and overlays set by
+single changes, such as a data centre taken out of service or a leaving target. An
+overlay overrides the folder until it is removed. Both layers together are the
+configuration in force, under a common revision.
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 CHANGE = "configuration.change"
 COMMAND_NAMES = (APPLY, CHANGE)
 
-# The items have sections of their own, as snapshots are made a part of a section
-# at a time.
+# Items have separate sections, because snapshots are written section by section in
+# parts.
 SECTION = "configuration"
 DOCUMENTS_SECTION = "configuration-documents"
 ORIGINS_SECTION = "configuration-origins"
-NUMBERS_KEPT = 1_000
-HISTORY_KEPT = 1_000
+NUMBERS_RETAINED = 1_000
+HISTORY_RECORDS_RETAINED = 1_000
 HISTORY_KEYS_SHOWN = 20
 
-# The field that a single change sets, by kind of item.
+# The field that an overlay sets, by kind of item.
 OVERLAY_FIELDS = {"data-centre": "taken_out", "target": "leaving", "vm": "leaving"}
 
 
 class ConfigurationState:
-    """The configuration's section of the replicated state.
+    """The configuration's sections of the replicated state.
 
     Args:
-      content: all but the items.
-      documents: the documents of the folder's layer.
-      origins: the origins of their values.
+      content: the section with everything but the items.
+      documents: the documents of the folder layer by key.
+      origins: the origins of their values by key.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
 
     @classmethod
     def writable(cls, state: State) -> ConfigurationState:
-        """Return the section for a command."""
+        """Return the sections for a command; missing ones are created."""
         content = state.section(SECTION)
         if not content:
             content.update(
@@ -84,7 +84,7 @@
 
     @classmethod
     def readable(cls, state: State) -> ConfigurationState:
-        """Return the section for a query, which leaves the state as it is."""
+        """Return the sections for a query, which does not modify the state."""
         sections = state.sections
         return cls(
             sections.get(SECTION, {}),
@@ -99,12 +99,12 @@
 
     @property
     def folder_revision(self) -> int:
-        """The newest revision that changed the folder's layer."""
+        """The newest revision that changed the folder layer."""
         return self._content.get("folder_revision", 0)
 
     @property
     def last_index(self) -> int:
-        """The log index of the last command on the configuration."""
+        """The log index of the last configuration command."""
         return self._content.get("last_index", 0)
 
     @property
@@ -114,26 +114,26 @@
 
     @property
     def documents(self) -> Documents:
-        """The documents of the folder's layer."""
+        """The documents of the folder layer by key."""
         return self._documents
 
     @property
     def origins(self) -> dict[str, Any]:
-        """Where each value was written, with the revision that set it."""
+        """The origin of each value and the revision that set it, by key."""
         return self._origins
 
     @property
     def overlays(self) -> dict[str, Any]:
-        """The single changes that are in force, by key."""
+        """The overlays in force, by key."""
         return self._content.get("overlays", {})
 
     @property
     def history(self) -> list[Message]:
-        """What changed, the newest last."""
+        """The records of the last changes, the newest last."""
         return self._content.get("history", [])
 
-    def effective(self, key: str) -> Document | None:
-        """Return the document in force of an item, or None if there is none."""
+    def effective_document(self, key: str) -> Document | None:
+        """Return an item's document with its overlay, or None if it does not exist."""
         document = self.documents.get(key)
         overlay = self.overlays.get(key)
         if document is None or overlay is None:
@@ -141,25 +141,25 @@
         return {**document, overlay["field"]: overlay["value"]}
 
     def effective_documents(self, keys: Iterable[str]) -> Iterator[tuple[str, Any]]:
-        """Return key and document in force of those items that exist."""
+        """Return keys and documents, with overlays, of those items that exist."""
         for key in keys:
-            document = self.effective(key)
+            document = self.effective_document(key)
             if document is not None:
                 yield key, document
 
     def keys_since(self, revision: int) -> list[str] | None:
-        """Return the keys changed after a revision, or None if not known."""
+        """Return the keys changed after a revision; see `ChangeLog.keys_since`."""
         if revision == self.revision:
             return []
         return ChangeLog(self._content.setdefault("change_log", {})).keys_since(
             revision
         )
 
-    def earlier_answer(self, message: Message) -> Message | None:
-        """Return the answer that a number has got already, or None.
+    def recorded_answer(self, message: Message) -> Message | None:
+        """Return the answer to an earlier message with this number, or None.
 
-        The same number with another digest gets a conflict that names who was
-        first.
+        If that message has another digest, the answer is a conflict that names its
+        sender.
         """
         first = self._content["numbers"].get(str(message["number"]))
         if first is None:
@@ -173,16 +173,18 @@
             "first": {k: first[k] for k in ("operator", "wall_time_s", "digest")},
         }
 
-    def commit(self, message: Message, before: Documents, keys: list[str]) -> Message:
-        """Raise the revision for a change that has been made.
+    def record_change(
+        self, message: Message, before: Documents, keys: list[str]
+    ) -> Message:
+        """Increment the revision and record a change that has been made.
 
         Args:
           message: the command's message.
-          before: the documents in force of the keys, as they were.
-          keys: the keys touched.
+          before: the documents in force of the keys before the change.
+          keys: the keys of the touched items.
 
         Returns:
-          The answer, which is kept under the message's number.
+          The answer, which is recorded under the message's number.
         """
         content = self._content
         after = dict(self.effective_documents(keys))
@@ -202,11 +204,11 @@
                 "keys": keys[:HISTORY_KEYS_SHOWN],
             }
         )
-        del content["history"][:-HISTORY_KEPT]
-        return self.answer(message, "accepted")
+        del content["history"][:-HISTORY_RECORDS_RETAINED]
+        return self.record_answer(message, "accepted")
 
-    def answer(self, message: Message, outcome: str) -> Message:
-        """Return an answer that is kept under the message's number."""
+    def record_answer(self, message: Message, outcome: str) -> Message:
+        """Record an answer under the message's number and return it."""
         content = self._content
         answer = {
             "outcome": outcome,
@@ -221,12 +223,12 @@
             "wall_time_s": message["wall_time_s"],
             "answer": answer,
         }
-        while len(numbers) > NUMBERS_KEPT:
+        while len(numbers) > NUMBERS_RETAINED:
             del numbers[next(iter(numbers))]
         return answer
 
-    def replace_folder(self, change: Change, origins: dict[str, Any]) -> None:
-        """Change the folder's layer; the caller commits."""
+    def update_folder(self, change: Change, origins: dict[str, Any]) -> None:
+        """Change the folder layer; the caller then calls `record_change`."""
         revision = self.revision + 1
         self._content["folder_revision"] = revision
         self.documents.update(change.changed)
@@ -237,129 +239,133 @@
             self.documents.pop(key, None)
             self.origins.pop(key, None)
 
-    def note_index(self, context: CommandContext) -> None:
-        """Note that a command on the configuration was applied."""
+    def record_index(self, context: CommandContext) -> None:
+        """Record the log index of the configuration command being applied."""
         self._content["last_index"] = context.index
 
 
 @command(APPLY)
-def apply(state: State, message: Message, context: CommandContext) -> Message:
-    """Change the folder's layer.
+def apply_folder(state: State, message: Message, context: CommandContext) -> Message:
+    """Change the folder layer.
 
-    The message holds number, digest, operator, wall_time_s, base_revision,
-    changed, removed and origins. The outcome is accepted, unchanged, conflict
-    or refused.
+    The message has the fields number, digest, operator, wall_time_s, base_revision,
+    changed, removed and origins. The outcome is accepted, unchanged, conflict or
+    refused.
     """
-    store = ConfigurationState.writable(state)
-    store.note_index(context)
-    earlier = store.earlier_answer(message)
-    if earlier is not None:
-        return earlier
+    configuration = ConfigurationState.writable(state)
+    configuration.record_index(context)
+    recorded = configuration.recorded_answer(message)
+    if recorded is not None:
+        return recorded
     if not is_well_formed(message):
-        return _refusal(store, [finding("the change is not well formed")])
-    if not store.folder_revision <= message["base_revision"] <= store.revision:
-        return _base_conflict(store)
+        return _refused(configuration, [finding("the change is not well formed")])
+    if (
+        not configuration.folder_revision
+        <= message["base_revision"]
+        <= configuration.revision
+    ):
+        return _base_conflict(configuration)
     change = Change(message["changed"], tuple(message["removed"]))
-    findings = change_findings(store.documents, change, message["origins"])
+    findings = change_findings(configuration.documents, change, message["origins"])
     if findings:
-        return _refusal(store, findings)
-    after = {**store.documents, **change.changed}
+        return _refused(configuration, findings)
+    after = {**configuration.documents, **change.changed}
     for key in change.removed:
         after.pop(key, None)
-    change = difference(store.documents, after)
+    change = difference(configuration.documents, after)
     if not change:
-        return store.answer(message, "unchanged")
-    keys = change.touched
-    before = dict(store.effective_documents(keys))
-    store.replace_folder(change, message["origins"])
-    return store.commit(message, before, keys)
+        return configuration.record_answer(message, "unchanged")
+    keys = change.touched_keys
+    before = dict(configuration.effective_documents(keys))
+    configuration.update_folder(change, message["origins"])
+    return configuration.record_change(message, before, keys)
 
 
 @command(CHANGE)
-def change_single(state: State, message: Message, context: CommandContext) -> Message:
-    """Set or undo the overlay of one item.
+def set_overlay(state: State, message: Message, context: CommandContext) -> Message:
+    """Set or remove the overlay of an item.
 
-    The message holds number, digest, operator, wall_time_s, key and value: true
-    sets the overlay, false undoes it.
+    The message has the fields number, digest, operator, wall_time_s, key and value:
+    true sets the overlay, false removes it.
     """
-    store = ConfigurationState.writable(state)
-    store.note_index(context)
-    earlier = store.earlier_answer(message)
-    if earlier is not None:
-        return earlier
+    configuration = ConfigurationState.writable(state)
+    configuration.record_index(context)
+    recorded = configuration.recorded_answer(message)
+    if recorded is not None:
+        return recorded
     key = message["key"]
     kind, _, name = key.partition("/")
     if kind not in OVERLAY_FIELDS:
-        return _refusal(store, [finding(f"a {kind} has no single change")])
-    if key not in store.documents and key not in store.overlays:
-        return _refusal(store, [finding(f"there is no {kind} {name}")])
-    if (key in store.overlays) == message["value"]:
-        return store.answer(message, "unchanged")
-    before = dict(store.effective_documents([key]))
+        return _refused(configuration, [finding(f"a {kind} has no single change")])
+    if key not in configuration.documents and key not in configuration.overlays:
+        return _refused(configuration, [finding(f"there is no {kind} {name}")])
+    if (key in configuration.overlays) == message["value"]:
+        return configuration.record_answer(message, "unchanged")
+    before = dict(configuration.effective_documents([key]))
     if message["value"]:
-        store.overlays[key] = {
+        configuration.overlays[key] = {
             "field": OVERLAY_FIELDS[kind],
             "value": True,
             "operator": message["operator"],
             "wall_time_s": message["wall_time_s"],
-            "revision": store.revision + 1,
+            "revision": configuration.revision + 1,
         }
     else:
-        del store.overlays[key]
-    return store.commit(message, before, [key])
+        del configuration.overlays[key]
+    return configuration.record_change(message, before, [key])
 
 
-def _base_conflict(store: ConfigurationState) -> Message:
+def _base_conflict(configuration: ConfigurationState) -> Message:
     last: Message = {}
-    for record in reversed(store.history):
-        if record["revision"] == store.folder_revision:
+    for record in reversed(configuration.history):
+        if record["revision"] == configuration.folder_revision:
             last = record
             break
     first = {k: last.get(k) for k in ("operator", "wall_time_s", "digest")}
     return {
         "outcome": "conflict",
         "reason": "base-revision",
-        "revision": store.revision,
-        "folder_revision": store.folder_revision,
+        "revision": configuration.revision,
+        "folder_revision": configuration.folder_revision,
         "first": first,
     }
 
 
-def _refusal(store: ConfigurationState, findings: list[Message]) -> Message:
+def _refused(configuration: ConfigurationState, findings: list[Message]) -> Message:
     return {
         "outcome": "refused",
-        "revision": store.revision,
+        "revision": configuration.revision,
         "findings": findings,
     }
 
 
 @query("configuration.current")
 def current(state: State, message: Message) -> Message:
-    """Return the revision and the digest."""
-    store = ConfigurationState.readable(state)
+    """Return the revision, the digest and the number of items."""
+    configuration = ConfigurationState.readable(state)
     return {
-        "revision": store.revision,
-        "folder_revision": store.folder_revision,
-        "digest": store.digest,
-        "items": len(store.documents),
+        "revision": configuration.revision,
+        "folder_revision": configuration.folder_revision,
+        "digest": configuration.digest,
+        "items": len(configuration.documents),
     }
 
 
 @query("configuration.documents")
 def documents(state: State, message: Message) -> Message:
-    """Return both layers with the origin of each value."""
-    store = ConfigurationState.readable(state)
+    """Return both layers, with the origin of each value if requested."""
+    configuration = ConfigurationState.readable(state)
     return {
         **current(state, message),
-        "documents": store.documents,
-        "origins": store.origins if message.get("origins") else {},
-        "overlays": store.overlays,
+        "documents": configuration.documents,
+        "origins": configuration.origins if message.get("origins") else {},
+        "overlays": configuration.overlays,
     }
 
 
 @query("configuration.history")
 def history(state: State, message: Message) -> Message:
-    """Return the last changes, the newest first; `limit` bounds them."""
-    store = ConfigurationState.readable(state)
-    records = store.history[-int(message.get("limit", 20)) :]
+    """Return the last changes, the newest first, `limit` at most."""
+    configuration = ConfigurationState.readable(state)
+    records = configuration.history[-int(message.get("limit", 20)) :]
     return {**current(state, message), "history": records[::-1]}
--- a/endivesill/configuration/store.py
+++ b/endivesill/configuration/store.py
@@ -1,6 +1,7 @@
-"""The copy on a VM's disk: it saves a full copy after a restart.
+"""The copy of the configuration on a VM's disk.
 
-It is no ground to take work: after a restart the lease has to come first.
+After a restart it saves fetching a full copy. It does not permit new work: the VM
+needs a new lease first.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 FILE_NAME = "configuration.json.z"
 
-# Documents are encoded some at a time, so that the thread that does it lets the
-# event loop run in between.
+# Documents are encoded in chunks, so that the encoding thread releases the interpreter
+# lock to the event loop in between.
 CHUNK_ITEMS = 500
 
 
 class ConfigurationFile:
-    """A file replaced by write, sync, rename and sync of its folder.
+    """A file that is replaced atomically: write, sync, rename, sync of the folder.
 
-    Its lines are compressed JSON: a header, then objects of documents by key.
+    It is a compressed text of JSON lines: a header, then objects of documents by key.
 
     Args:
       data_folder: the folder of the VM's durable files.
@@ -37,7 +38,7 @@
         self._folder = pathlib.Path(data_folder)
 
     def load(self, copy: ConfigurationCopy) -> bool:
-        """Fill an empty copy; tell whether the file was there and whole."""
+        """Fill an empty copy; return whether the file exists and is intact."""
         try:
             packed = (self._folder / FILE_NAME).read_bytes()
             header, *chunks = zlib.decompress(packed).splitlines()
@@ -50,10 +51,10 @@
             return False
 
     def save(self, snapshot: CopySnapshot) -> None:
-        """Replace the file.
+        """Replace the file durably.
 
         Raises:
-          OSError: the disk refused it; the former file stays.
+          OSError: writing failed; the previous file stays.
         """
         self._folder.mkdir(parents=True, exist_ok=True)
         temporary = self._folder / (FILE_NAME + ".new")
--- a/endivesill/configuration/watcher.py
+++ b/endivesill/configuration/watcher.py
@@ -1,8 +1,9 @@
-"""The configuration and its lease on one VM, and what it passes on to others.
+"""The configuration and its lease on a VM, and their distribution to its children.
 
-One task asks round after round: the control replicas, or the parent in the
-distribution tree. Questions of children that arrived before a round began share
-it, so that a lease passed on never outlasts the one that it rests on.
+A task runs one round after the other, in which it asks the control replicas or the
+parent in the distribution tree. Requests of children that arrived before a round began
+are answered with its result. A lease passed on to a child therefore never outlasts the
+lease that it is derived from.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from endivesill import errors, events
 from endivesill.configuration.acknowledgements import (
     Acknowledgements,
-    Packed,
+    PackedRevisions,
     pack_revisions,
 )
 from endivesill.configuration.copy import ConfigurationCopy, unpack_documents
@@ -28,17 +29,17 @@
     UPSTREAM_FAILED,
 )
 from endivesill.configuration.lease import (
-    ACKNOWLEDGEMENT_KEPT_S,
-    DIRECT_BELOW_S,
-    DIRECT_RESERVE_S,
-    GATHER_S,
-    HOLD_S,
+    ACKNOWLEDGEMENT_RETENTION_S,
+    CHILD_WAIT_S,
+    DIRECT_PROBE_RESERVE_S,
+    DIRECT_PROBE_THRESHOLD_S,
     LEASE_S,
-    PARENT_RETRY_S,
-    RETRY_S,
+    MAX_HOLD_S,
+    PARENT_BYPASS_S,
+    RETRY_DELAY_S,
 )
 from endivesill.configuration.model import Configuration
-from endivesill.configuration.probe import MajorityProbe, call
+from endivesill.configuration.probe import MajorityProbe, call_peer
 from endivesill.configuration.replica import DELTA_PATH, PAGE_PATH
 from endivesill.configuration.source import ConfigurationSource
 from endivesill.configuration.store import ConfigurationFile
@@ -59,7 +60,7 @@
 
 @attrs.frozen(eq=False)
 class _Child:
-    """A child's question that waits for its answer."""
+    """A child's request that waits for its answer."""
 
     vm: str
     revision: int
@@ -67,16 +68,16 @@
 
 
 class ConfigurationWatcher(ConfigurationSource):
-    """Keeps the configuration in force on this VM, and its lease.
+    """Maintains the configuration in force on this VM and its lease.
 
     Args:
       kernel: the process's kernel.
-      transport: the peer transport; its paths `/configuration/watch...` are
-        taken.
-      membership: the fleet, for the place in the distribution tree.
-      vm_name: this VM.
+      transport: the peer transport; handlers are registered at
+        `/configuration/watch...`.
+      membership: the view of the fleet, for the position in the distribution tree.
+      vm_name: the name of this VM.
       control_addresses: the peer addresses of the control VMs.
-      file: where the copy is kept on disk, or None.
+      file: the file of the copy on disk; None keeps no copy.
     """
 
     def __init__(
@@ -99,118 +100,127 @@
         self._probe = MajorityProbe(
             kernel.timer, transport, vm_name, control_addresses, self._copy
         )
-        self._acknowledgements = Acknowledgements(kernel.timer, ACKNOWLEDGEMENT_KEPT_S)
-        self._acks_sent: tuple[str, Packed] | None = None
+        self._acknowledgements = Acknowledgements(
+            kernel.timer, ACKNOWLEDGEMENT_RETENTION_S
+        )
+        self._acks_sent: tuple[str, PackedRevisions] | None = None
         self._lease_start_s = float("-inf")
-        self._lease_seen = False
-        self._has_news = False
+        self._logged_lease = False
+        self._has_new_revision = False
         self._stopped = False
-        self._direct_until_s = 0.0
-        self._arrived: list[_Child] = []
-        self._expected: set[str] = set()
-        self._gathered = asyncio.Event()
-        self._saver: asyncio.Task[None] | None = None
-        self._write: asyncio.Future[None] | None = None
+        self._parent_bypassed_until_s = 0.0
+        self._waiting_children: list[_Child] = []
+        self._expected_children: set[str] = set()
+        self._child_arrived = asyncio.Event()
+        self._save_task: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Future[None] | None = None
         self._saved_revision = 0
         self._task: asyncio.Task[None] | None = None
-        transport.handle(WATCH_PATH, self._answer_watch)
-        transport.handle(WATCH_DELTA_PATH, self._answer_delta)
-        transport.handle(WATCH_PAGE_PATH, self._answer_page)
+        transport.handle(WATCH_PATH, self._handle_watch)
+        transport.handle(WATCH_DELTA_PATH, self._handle_delta)
+        transport.handle(WATCH_PAGE_PATH, self._handle_page)
 
     def current(self) -> Configuration:
         """Return the configuration in force; see the base class."""
         return self._copy.configuration
 
     def holds_lease(self) -> bool:
-        """Tell whether new work may start now; see the base class."""
+        """Return whether new work may start now; see the base class."""
         return self._lease_left_s() > 0
 
     def _lease_left_s(self) -> float:
         return self._lease_start_s + LEASE_S - self._timer.now_s()
 
     def control_addresses(self) -> tuple[str, ...]:
-        """Return the peer addresses of the control VMs, as far as known."""
+        """Return the known peer addresses of the control VMs."""
         return self._probe.addresses()
 
     async def start(self) -> None:
-        """Load the copy on disk and begin to ask."""
+        """Load the copy on disk and start the rounds."""
         if self._file is not None and self._file.load(self._copy):
             self._put_in_force()
         self._task = self._kernel.supervise("configuration-watcher", self._run)
 
     async def stop(self) -> None:
-        """Ask no more."""
+        """Stop the rounds, answer waiting children and save the copy."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         self._probe.close()
         self._stopped = True
-        self._answer_children(self._arrived, lease=False)
-        await self._save_last()
+        self._answer_children(self._waiting_children, lease=False)
+        await self._save_on_stop()
 
     async def _run(self) -> None:
         while True:
-            await self._gather()
-            children, self._arrived = self._arrived, []
-            self._expected = {child.vm for child in children}
+            await self._wait_for_children()
+            children, self._waiting_children = self._waiting_children, []
+            self._expected_children = {child.vm for child in children}
             revision = self._copy.revision
             started_s = self._timer.now_s()
             try:
-                lease_start_s = await self._ask()
+                lease_start_s = await self._renew()
             finally:
                 confirmed = self._lease_start_s >= started_s
                 self._answer_children(children, lease=confirmed)
-            self._has_news = self._copy.revision > revision
-            if self._has_news:
+            self._has_new_revision = self._copy.revision > revision
+            if self._has_new_revision:
                 self._answer_outdated_children()
-            self._note_lease()
-            if lease_start_s is None and not self._has_news:
-                await self._timer.sleep(RETRY_S)
-
-    async def _gather(self) -> None:
-        """Wait until the children of the last round have asked again."""
-        deadline_s = self._timer.now_s() + GATHER_S
-        while self._expected - {child.vm for child in self._arrived}:
+            self._log_lease_change()
+            if lease_start_s is None and not self._has_new_revision:
+                await self._timer.sleep(RETRY_DELAY_S)
+
+    async def _wait_for_children(self) -> None:
+        """Wait until the children of the last round have sent their next requests."""
+        deadline_s = self._timer.now_s() + CHILD_WAIT_S
+        while self._expected_children - {child.vm for child in self._waiting_children}:
             left_s = deadline_s - self._timer.now_s()
             if left_s <= 0:
                 return
-            self._gathered.clear()
+            self._child_arrived.clear()
             try:
-                await self._timer.wait_for(self._gathered.wait(), left_s)
+                await self._timer.wait_for(self._child_arrived.wait(), left_s)
             except errors.DeadlineExceededError:
                 return
 
-    async def _ask(self) -> float | None:
-        """Ask for news and the lease once; return the lease's start if renewed."""
+    async def _renew(self) -> float | None:
+        """Ask once for newer revisions and the lease.
+
+        Returns:
+          The start of the lease if it was renewed, or None.
+        """
         parent = self._parent_address()
         if parent is None:
-            return await self._ask_replicas()
-        return await self._ask_parent(parent)
+            return await self._renew_from_replicas()
+        return await self._renew_from_parent(parent)
 
     def _parent_address(self) -> str | None:
         now_s = self._timer.now_s()
-        if now_s < self._direct_until_s:
+        if now_s < self._parent_bypassed_until_s:
             return None
-        if self._lease_left_s() < DIRECT_BELOW_S:
+        if self._lease_left_s() < DIRECT_PROBE_THRESHOLD_S:
             return None
         parent = parent_of(self._vm_name, self._membership.vms())
         return None if parent is None else parent.address
 
-    async def _ask_replicas(self) -> float | None:
-        can_hold = not self._has_news and self._lease_left_s() > DIRECT_BELOW_S
-        hold_s = HOLD_S if can_hold else 0.0
+    async def _renew_from_replicas(self) -> float | None:
+        can_hold = (
+            not self._has_new_revision
+            and self._lease_left_s() > DIRECT_PROBE_THRESHOLD_S
+        )
+        hold_s = MAX_HOLD_S if can_hold else 0.0
         started_s = self._timer.now_s()
-        await self._probe.ask(hold_s, self._acks())
-        newer_address = self._probe.newer_address
-        if newer_address is not None:
-            await self._fetch(newer_address, DELTA_PATH, PAGE_PATH)
+        await self._probe.run_round(hold_s, self._acks())
+        newer_revision_address = self._probe.newer_revision_address
+        if newer_revision_address is not None:
+            await self._fetch(newer_revision_address, DELTA_PATH, PAGE_PATH)
         lease_start_s = self._probe.lease_start_s()
         if lease_start_s is None:
             return None
         self._extend_lease(lease_start_s)
         return lease_start_s if lease_start_s >= started_s else None
 
-    async def _ask_parent(self, parent: str) -> float | None:
+    async def _renew_from_parent(self, parent: str) -> float | None:
         acks = self._acks()
         message: Message = {
             "vm": self._vm_name,
@@ -219,12 +229,14 @@
         if self._acks_sent != (parent, acks):
             message["acks"] = acks
         sent_s = self._timer.now_s()
-        timeout_s = self._lease_left_s() - DIRECT_RESERVE_S
+        timeout_s = self._lease_left_s() - DIRECT_PROBE_RESERVE_S
         try:
-            answer = await call(self._transport, parent, WATCH_PATH, message, timeout_s)
+            answer = await call_peer(
+                self._transport, parent, WATCH_PATH, message, timeout_s
+            )
         except errors.PeerUnreachableError as error:
             events.emit(UPSTREAM_FAILED, upstream=parent, error=str(error))
-            self._direct_until_s = self._timer.now_s() + PARENT_RETRY_S
+            self._parent_bypassed_until_s = self._timer.now_s() + PARENT_BYPASS_S
             return None
         self._acks_sent = None if answer.get("acks_wanted") else (parent, acks)
         if "delta" in answer:
@@ -240,18 +252,18 @@
     def _extend_lease(self, start_s: float) -> None:
         self._lease_start_s = max(self._lease_start_s, start_s)
 
-    def _note_lease(self) -> None:
+    def _log_lease_change(self) -> None:
         holds = self.holds_lease()
-        if holds != self._lease_seen:
+        if holds != self._logged_lease:
             kind = LEASE_GAINED if holds else LEASE_LOST
             events.emit(kind, revision=self._copy.revision)
-        self._lease_seen = holds
+        self._logged_lease = holds
 
     async def _fetch(self, address: str, delta_path: str, page_path: str) -> None:
-        """Get what is newer from a VM: a delta, or a full copy if need be."""
+        """Fetch a newer revision from a VM: a delta, or a full copy if necessary."""
         try:
             message = {"since": self._copy.revision}
-            delta = await call(
+            delta = await call_peer(
                 self._transport, address, delta_path, message, FETCH_TIMEOUT_S
             )
             if delta.get("full") or not self._apply(delta):
@@ -260,12 +272,12 @@
             events.emit(UPSTREAM_FAILED, upstream=address, error=str(error))
 
     async def _fetch_copy(self, address: str, delta_path: str, page_path: str) -> None:
-        """Fetch all pages, then the delta of what changed meanwhile."""
+        """Fetch all pages, then the delta from the revision of the first page."""
         documents = {}
         revision = None
         after = ""
         while True:
-            page = await call(
+            page = await call_peer(
                 self._transport, address, page_path, {"after": after}, FETCH_TIMEOUT_S
             )
             if revision is None:
@@ -274,7 +286,7 @@
             after = page["last"]
             if not after:
                 break
-        delta = await call(
+        delta = await call_peer(
             self._transport, address, delta_path, {"since": revision}, FETCH_TIMEOUT_S
         )
         if delta.get("full"):
@@ -283,10 +295,10 @@
         for key in delta["removed"]:
             documents.pop(key, None)
         before = self._copy.revision
-        whole = self._copy.replace(
+        is_intact = self._copy.replace(
             delta["revision"], delta["as_of"], documents, delta["digest"]
         )
-        if not whole:
+        if not is_intact:
             events.emit(COPY_DAMAGED, revision=delta["revision"], upstream=address)
         elif self._copy.revision > before:
             events.emit(COPY_FETCHED, revision=self._copy.revision, upstream=address)
@@ -304,56 +316,58 @@
     def _put_in_force(self) -> None:
         events.emit(CONFIGURATION_IN_FORCE, revision=self._copy.revision)
         self._notify(self._copy.configuration)
-        if self._file is not None and self._saver is None:
-            self._saver = asyncio.ensure_future(self._save_later(self._file))
+        if self._file is not None and self._save_task is None:
+            self._save_task = asyncio.ensure_future(self._save_later(self._file))
 
     async def _save_later(self, file: ConfigurationFile) -> None:
         while self._saved_revision < self._copy.revision:
             await self._timer.sleep(SAVE_DELAY_S)
             snapshot = self._copy.snapshot()
-            self._write = asyncio.ensure_future(asyncio.to_thread(file.save, snapshot))
-            await asyncio.wait([self._write])
-            self._note_saved(snapshot.revision)
-        self._saver = None
+            self._write_task = asyncio.ensure_future(
+                asyncio.to_thread(file.save, snapshot)
+            )
+            await asyncio.wait([self._write_task])
+            self._on_saved(snapshot.revision)
+        self._save_task = None
 
-    def _note_saved(self, revision: int) -> None:
+    def _on_saved(self, revision: int) -> None:
         self._saved_revision = revision
-        error = self._write.exception() if self._write else None
+        error = self._write_task.exception() if self._write_task else None
         if error is not None:
             events.emit(COPY_NOT_KEPT, revision=revision, error=str(error))
 
-    async def _save_last(self) -> None:
-        """Keep the newest revision; a write that runs has to end first."""
-        if self._file is None or self._saver is None:
+    async def _save_on_stop(self) -> None:
+        """Save the newest revision after a running write has ended."""
+        if self._file is None or self._save_task is None:
             return
-        self._saver.cancel()
-        if self._write is not None:
-            await asyncio.wait([self._write])
+        self._save_task.cancel()
+        if self._write_task is not None:
+            await asyncio.wait([self._write_task])
         try:
             self._file.save(self._copy.snapshot())
         except OSError as error:
             events.emit(COPY_NOT_KEPT, revision=self._copy.revision, error=str(error))
 
-    def _acks(self) -> Packed:
+    def _acks(self) -> PackedRevisions:
         revisions = self._acknowledgements.revisions()
         revisions[self._vm_name] = self._copy.revision
         return pack_revisions(revisions)
 
-    async def _answer_watch(self, message: Message) -> Message:
+    async def _handle_watch(self, message: Message) -> Message:
         if self._stopped:
-            return self._refusal()
-        known = self._acknowledgements.report(message["vm"], message.get("acks"))
+            return self._stopped_answer()
+        has_acks = self._acknowledgements.report(message["vm"], message.get("acks"))
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         child = _Child(message["vm"], message["revision"], future)
-        self._arrived.append(child)
-        self._gathered.set()
+        self._waiting_children.append(child)
+        self._child_arrived.set()
         answer = await future
-        if not known:
+        if not has_acks:
             answer["acks_wanted"] = True
         return answer
 
-    def _refusal(self) -> Message:
-        """Return an answer with no lease and no news."""
+    def _stopped_answer(self) -> Message:
+        """Return an answer without a lease and without a newer revision."""
         return {"lease": False, "revision": 0, "as_of": 0}
 
     def _answer_children(self, children: list[_Child], *, lease: bool) -> None:
@@ -362,10 +376,17 @@
                 child.future.set_result(self._child_answer(child, lease))
 
     def _answer_outdated_children(self) -> None:
-        """Pass news on at once to children that came too late for the round."""
+        """Answer at once waiting children that have an older revision.
+
+        They arrived too late for the round and get no lease.
+        """
         revision = self._copy.revision
-        outdated = [child for child in self._arrived if child.revision < revision]
-        self._arrived = [c for c in self._arrived if c.revision >= revision]
+        outdated = [
+            child for child in self._waiting_children if child.revision < revision
+        ]
+        self._waiting_children = [
+            c for c in self._waiting_children if c.revision >= revision
+        ]
         self._answer_children(outdated, lease=False)
 
     def _child_answer(self, child: _Child, lease: bool) -> Message:
@@ -380,8 +401,8 @@
                 answer["delta"] = delta
         return answer
 
-    async def _answer_delta(self, message: Message) -> Message:
+    async def _handle_delta(self, message: Message) -> Message:
         return self._copy.delta_since(message["since"]) or {"full": True}
 
-    async def _answer_page(self, message: Message) -> Message:
+    async def _handle_page(self, message: Message) -> Message:
         return self._copy.page(message["after"])
--- a/endivesill/membership/probes.py
+++ b/endivesill/membership/probes.py
@@ -29,7 +29,7 @@
 NEAR_HELPER_SHARE = 0.5
 MAX_PROBES_PER_DATA_CENTRE = 3
 # A probe that overruns its timeouts by more than this was delayed by a pause of this
-# process, so that it says nothing about the probed VM.
+# process, so that it is no evidence against the probed VM.
 OVERRUN_TOLERANCE_S = 0.2
 
 
--- a/endivesill/operators/progress.py
+++ b/endivesill/operators/progress.py
@@ -9,7 +9,7 @@
 from endivesill import errors
 from endivesill.configuration.acknowledgements import unpack_revisions
 from endivesill.configuration.lease import IN_FORCE_MARGIN_S, LEASE_S
-from endivesill.configuration.probe import call
+from endivesill.configuration.probe import call_peer
 from endivesill.configuration.replica import ACKNOWLEDGED_PATH
 from endivesill.membership.view import MembershipView, VmState
 from endivesill.peers import PeerTransport
@@ -80,7 +80,7 @@
         answered = False
         for address in self._control_addresses():
             try:
-                answer = await call(
+                answer = await call_peer(
                     self._transport, address, ACKNOWLEDGED_PATH, {}, CALL_TIMEOUT_S
                 )
             except errors.PeerUnreachableError:
--- a/endivesill/porcelain.py
+++ b/endivesill/porcelain.py
@@ -121,7 +121,7 @@
         current["folder_revision"],
         change,
         {key: folder.origin_texts(key) for key in change.changed},
-        {key: documents[key] for key in change.touched if key in documents},
+        {key: documents[key] for key in change.touched_keys if key in documents},
     )
 
 
--- a/tests/configuration_fleet.py
+++ b/tests/configuration_fleet.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from endivesill.configuration.replica import MemoryReplica, ReplicaPort, VoterSet
+from endivesill.configuration.replica import MemoryReplica, ReplicaEndpoint, VoterSet
 from endivesill.configuration.state import APPLY
 from endivesill.configuration.tree import parent_of
 from endivesill.configuration.watcher import ConfigurationWatcher
@@ -62,7 +62,7 @@
         self.ports = []
         for replica, address in zip(self.replicas, self.control_addresses, strict=True):
             transport = self.network.transport(address)
-            self.ports.append(ReplicaPort(self.timer, transport, replica))
+            self.ports.append(ReplicaEndpoint(self.timer, transport, replica))
         self.index = 0
         self.watchers = {}
         self.kernels = {}
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -32,7 +32,7 @@
         await self.fleet.stop()
 
     async def advance_watching(self, duration_s, names):
-        """Advance in steps of 50 ms; return all states of the named VMs that others saw."""
+        """Advance in steps of 50 ms; return all states that other VMs saw."""
         seen = set()
         for _ in range(round(duration_s / 0.05)):
             await self.timer.advance(0.05)
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -34,20 +34,22 @@
         return self.run_command(CHANGE, change_message(number, key, value))
 
     @property
-    def store(self):
+    def configuration(self):
         return ConfigurationState.readable(self.state)
 
 
 class ApplyTest(StateCase):
     def test_an_accepted_change_raises_the_revision_by_one(self):
-        self.assertEqual(("accepted", 1), (self.first["outcome"], self.store.revision))
+        self.assertEqual(
+            ("accepted", 1), (self.first["outcome"], self.configuration.revision)
+        )
         answer = self.apply(2, {"data-centre/c": {"region": "r"}}, base=1)
         self.assertEqual(("accepted", 2), (answer["outcome"], answer["revision"]))
 
     def test_a_resend_after_a_lost_answer_gets_the_first_answer(self):
         self.apply(2, {"data-centre/c": {"region": "r"}}, base=1)
         self.assertEqual(self.first, self.apply(1, DOCUMENTS))
-        self.assertEqual(2, self.store.revision)
+        self.assertEqual(2, self.configuration.revision)
 
     def test_of_two_operators_with_the_same_number_the_second_gets_a_conflict(self):
         answer = self.apply(1, {}, digest="other", by="bob")
@@ -61,7 +63,7 @@
         answer = self.apply(3, {"data-centre/d": {"region": "r"}}, base=1, by="bob")
         self.assertEqual("base-revision", answer["reason"])
         self.assertEqual((2, "ada"), (answer["revision"], answer["first"]["operator"]))
-        self.assertNotIn("data-centre/d", self.store.documents)
+        self.assertNotIn("data-centre/d", self.configuration.documents)
 
     def test_a_base_revision_that_is_not_there_yet_is_a_conflict(self):
         answer = self.apply(2, {"data-centre/c": {"region": "r"}}, base=9)
@@ -81,7 +83,7 @@
         answer = self.apply(2, changed, base=1)
         self.assertEqual("refused", answer["outcome"])
         self.assertEqual(5, len(answer["findings"]))
-        self.assertEqual(1, self.store.revision)
+        self.assertEqual(1, self.configuration.revision)
 
     def test_a_change_of_the_wrong_form_is_refused(self):
         region = {"region": "r"}
@@ -123,10 +125,10 @@
         for number in range(2, 2_502):
             region = {"region": f"r{number}"}
             self.apply(number, {"data-centre/a": region}, base=number - 1)
-        self.assertEqual(2_501, self.store.revision)
-        self.assertEqual(1_000, len(self.store.history))
-        self.assertIsNone(self.store.keys_since(400))
-        self.assertEqual(["data-centre/a"], self.store.keys_since(2_400))
+        self.assertEqual(2_501, self.configuration.revision)
+        self.assertEqual(1_000, len(self.configuration.history))
+        self.assertIsNone(self.configuration.keys_since(400))
+        self.assertEqual(["data-centre/a"], self.configuration.keys_since(2_400))
 
 
 class SingleChangeTest(StateCase):
@@ -136,26 +138,32 @@
         answer = self.apply(2, folder, base=1)
         self.assertEqual("accepted", answer["outcome"])
         expected = {"region": "other", "taken_out": True}
-        self.assertEqual(expected, self.store.effective("data-centre/a"))
+        self.assertEqual(
+            expected, self.configuration.effective_document("data-centre/a")
+        )
 
     def test_a_single_change_survives_even_the_loss_of_its_item(self):
         self.change("x1", "target/e1", True)
         self.apply(2, {}, base=1, removed=["target/e1"])
         self.apply(3, {"target/e1": DOCUMENTS["target/e1"]}, base=3)
-        self.assertTrue(self.store.effective("target/e1")["leaving"])
+        self.assertTrue(self.configuration.effective_document("target/e1")["leaving"])
 
     def test_what_is_put_back_has_the_value_of_the_folder(self):
         self.change("x1", "data-centre/a", True)
         answer = self.change("x2", "data-centre/a", False)
         self.assertEqual(3, answer["revision"])
-        self.assertEqual({"region": "r"}, self.store.effective("data-centre/a"))
+        self.assertEqual(
+            {"region": "r"}, self.configuration.effective_document("data-centre/a")
+        )
         self.assertEqual(self.first["digest"], answer["digest"])
 
     def test_a_resent_single_change_does_not_undo_what_came_after(self):
         self.change("x1", "data-centre/a", True)
         self.change("x2", "data-centre/a", False)
         self.assertEqual(2, self.change("x1", "data-centre/a", True)["revision"])
-        self.assertNotIn("taken_out", self.store.effective("data-centre/a"))
+        self.assertNotIn(
+            "taken_out", self.configuration.effective_document("data-centre/a")
+        )
 
     def test_a_single_change_of_an_unknown_item_is_refused(self):
         answer = self.change("x1", "target/none", True)
