--- a/tests/configuration_fleet.py
+++ b/tests/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""Control replicas and watching VMs on a memory network, driven by hand."""
+"""A fleet of control replicas and VMs on a simulated network, for tests."""
 
 import asyncio
 import unittest
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """Three replicas and some VMs; a commit is made by the test itself."""
+    """Control replicas and VMs; the test itself appends and commits commands."""
 
     def __init__(self, vms, replicas=3, seed=1):
         self.timer = ManualTimer()
@@ -59,10 +59,10 @@
         self.control_addresses = tuple(f"c{n}:1" for n in range(replicas))
         voters = VoterSet(1, {f"r{n}": f"c{n}:1" for n in range(replicas)})
         self.replicas = [MemoryReplica(f"r{n}", voters) for n in range(replicas)]
-        self.ports = []
+        self.endpoints = []
         for replica, address in zip(self.replicas, self.control_addresses, strict=True):
             transport = self.network.transport(address)
-            self.ports.append(ReplicaEndpoint(self.timer, transport, replica))
+            self.endpoints.append(ReplicaEndpoint(self.timer, transport, replica))
         self.index = 0
         self.watchers = {}
         self.kernels = {}
@@ -88,7 +88,7 @@
         await watcher.start()
 
     async def kill(self, name):
-        """End a VM's process at once, without its planned stop."""
+        """Kill the process of a VM, without a planned stop."""
         self.network.remove(f"{name}:1")
         await self.kernels.pop(name).stop()
         self.watchers.pop(name)
@@ -98,20 +98,20 @@
             await kernel.stop()
 
     def append(self, message, command=APPLY, to=None):
-        """Append a command to the logs of some replicas without a commit."""
+        """Append a command to the logs of some or all replicas without a commit."""
         self.index += 1
         context = CommandContext(self.index, self.timer.now_s())
         for replica in self.replicas if to is None else to:
             replica.append(command, message, context)
 
     def commit(self, message, command=APPLY, to=None):
-        """Append and apply a command; return the result."""
+        """Append and apply a command; return the result of the first replica."""
         self.append(message, command, to)
         results = [r.apply_all() for r in (self.replicas if to is None else to)]
         return results[0]
 
     def change_target(self, number):
-        """Commit a change of one target's size; the number is its revision."""
+        """Commit a change of one target; the number becomes the revision."""
         document = {**DOCUMENTS["target/e1"], "maximum_slots": number}
         base = max(0, number - 1)
         return self.commit(apply_message(number, {"target/e1": document}, base=base))
@@ -124,7 +124,7 @@
     vms = ("v0", "v1", "v2", "v3", "v4", "v5", "v6")
 
     async def asyncSetUp(self):
-        # The loop's debug mode records a stack for each of many short calls.
+        # Debug mode of the event loop records a stack for each of many short calls.
         asyncio.get_running_loop().set_debug(False)
         self.fleet = Fleet([vm_record(name) for name in self.vms])
         self.timer = self.fleet.timer
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -19,19 +19,19 @@
         self.assertEqual({1}, set(self.fleet.revisions().values()))
         self.assertTrue(all(w.holds_lease() for w in self.fleet.watchers.values()))
 
-    async def test_a_change_is_in_force_everywhere_within_a_round_trip_a_level(self):
+    async def test_a_change_is_in_force_within_one_round_trip_per_level(self):
         self.fleet.change_target(2)
         await self.timer.advance(0.05)
         self.assertEqual({2}, set(self.fleet.revisions().values()))
 
-    async def test_leases_hold_without_a_gap_while_changes_go_on(self):
+    async def test_leases_have_no_gap_during_continuous_changes(self):
         for number in range(2, 60):
             self.fleet.change_target(number)
             await self.timer.advance(0.13)
             holding = [w.holds_lease() for w in self.fleet.watchers.values()]
             self.assertTrue(all(holding), (number, holding))
 
-    async def test_only_the_root_asks_the_replicas_at_rest(self):
+    async def test_only_the_root_probes_the_replicas_without_changes(self):
         asked = []
         for address in self.fleet.control_addresses:
             transport = self.network.find(address)
@@ -70,7 +70,7 @@
         others = [w for n, w in self.fleet.watchers.items() if n != name]
         self.assertTrue(all(w.holds_lease() for w in others))
 
-    async def test_a_partitioned_vm_never_holds_a_lease_against_a_commit(self):
+    async def test_a_partitioned_vm_never_holds_a_lease_on_an_outdated_revision(self):
         name = self.leaf()
         for round_number in range(2, 12):
             self.network.isolate(f"{name}:1")
@@ -83,7 +83,7 @@
             self.assertEqual(round_number, self.watcher(name).current().revision)
             self.assertTrue(self.watcher(name).holds_lease())
 
-    async def test_a_process_that_slept_through_its_lease_starts_nothing(self):
+    async def test_a_process_paused_past_its_lease_has_no_lease(self):
         watcher = self.watcher(self.leaf())
         self.assertTrue(watcher.holds_lease())
         self.timer.jump(lease.LEASE_S)
@@ -110,7 +110,7 @@
         self.assertEqual(1, stale.applied_index())
         self.assertFalse(any(w.holds_lease() for w in self.fleet.watchers.values()))
 
-    async def test_an_entry_that_is_not_committed_yet_ends_the_lease(self):
+    async def test_an_uncommitted_command_on_a_majority_ends_the_lease(self):
         message = apply_message(2, {"data-centre/c": {"region": "r"}}, base=1)
         self.fleet.append(message, to=self.fleet.replicas[:2])
         await self.timer.advance(2 * lease.LEASE_S)
@@ -135,7 +135,7 @@
         await self.timer.advance(lease.LEASE_S)
         self.assertFalse(self.watcher(self.root()).holds_lease())
 
-    async def test_a_change_of_voters_that_was_never_committed_is_forgotten(self):
+    async def test_an_uncommitted_change_of_voters_is_dropped(self):
         addresses = {f"r{n}": f"c{n}:1" for n in range(5)}
         replica = self.fleet.replicas[0]
         before, replica.voter_set = replica.voter_set, VoterSet(9, addresses)
@@ -147,15 +147,15 @@
         self.assertTrue(self.watcher(self.root()).holds_lease())
 
 
-class RelayTest(FleetCase):
-    async def test_when_a_relay_dies_its_children_keep_their_lease(self):
+class ParentTest(FleetCase):
+    async def test_children_keep_their_lease_when_their_parent_is_killed(self):
         await self.fleet.kill(self.root())
         for _ in range(60):
             await self.timer.advance(0.1)
             holding = {n: w.holds_lease() for n, w in self.fleet.watchers.items()}
             self.assertTrue(all(holding.values()), holding)
 
-    async def test_when_a_relay_is_cut_off_silently_its_children_keep_theirs(self):
+    async def test_children_keep_their_lease_when_their_parent_is_partitioned(self):
         root = self.root()
         self.network.isolate(f"{root}:1")
         for _ in range(80):
@@ -164,7 +164,7 @@
             del holding[root]
             self.assertTrue(all(holding.values()), holding)
 
-    async def test_a_change_passes_a_relay_that_is_cut_off(self):
+    async def test_a_change_bypasses_a_partitioned_parent(self):
         root = self.root()
         self.network.isolate(f"{root}:1")
         await self.timer.advance(0.3)
@@ -175,17 +175,17 @@
                 self.assertEqual(2, watcher.current().revision)
         self.assertFalse(self.watcher(root).holds_lease())
 
-    async def test_a_relay_that_lags_can_only_shorten_a_lease(self):
+    async def test_a_slow_parent_can_only_shorten_a_lease(self):
         name = self.leaf()
         parent = self.network.find(f"{self.parent(name)}:1")
         inner = parent.handlers[WATCH_PATH]
 
-        async def lag(message):
+        async def slow(message):
             answer = await inner(message)
             await self.timer.sleep(1.0 if message["vm"] == name else 0.0)
             return answer
 
-        parent.handlers[WATCH_PATH] = lag
+        parent.handlers[WATCH_PATH] = slow
         for number in range(2, 40):
             committed_s = self.timer.now_s()
             self.fleet.change_target(number)
@@ -196,7 +196,7 @@
             revision = self.watcher(name).current().revision
             self.assertTrue(revision == number or not self.watcher(name).holds_lease())
 
-    async def test_a_lease_counts_from_the_question_not_from_a_late_answer(self):
+    async def test_a_lease_starts_at_the_request_not_at_a_late_answer(self):
         name = self.leaf()
         for path, address in (
             (WATCH_PATH, f"{self.parent(name)}:1"),
@@ -213,7 +213,7 @@
         self.assertLessEqual(self.timer.now_s(), last_s + lease.LEASE_S + 0.01)
 
     def delay_answers(self, address, path, name):
-        """Answer a VM late, and note when it asked and got its answers."""
+        """Delay answers to a VM; record the times of its requests and answers."""
         transport = self.network.find(address)
         inner = transport.handlers[path]
         self.answered = []
@@ -229,7 +229,7 @@
 
         transport.handlers[path] = late
 
-    async def test_vms_with_differing_views_never_wait_in_a_circle(self):
+    async def test_vms_with_differing_views_never_wait_in_a_cycle(self):
         generator = random.Random(7)
         records = [vm_record(f"n{n}", f"dc{n % 4}", f"r{n % 2}") for n in range(40)]
         for _ in range(50):
--- a/tests/test_configuration_folder.py
+++ b/tests/test_configuration_folder.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' folder."""
+"""Tests of reading, validating and merging the operators' folder."""
 
 import pathlib
 import tempfile
@@ -88,7 +88,7 @@
         origins = {"protocol": "10.ini:2", "priority": "20.ini:3"}
         self.assertEqual(origins, folder.origin_texts("service/s"))
 
-    def test_the_change_holds_only_what_differs(self):
+    def test_the_change_has_only_the_differences(self):
         self.write("1.ini", "[data-centre a]\nregion = r\n[data-centre b]\nregion = s")
         folder = read_folder(str(self.path))
         before = {"data-centre/a": {"region": "r"}, "data-centre/c": {"region": "r"}}
--- a/tests/test_configuration_recovery.py
+++ b/tests/test_configuration_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of catching up, restarts and random schedules of the configuration."""
+"""Tests of the configuration after partitions, restarts and random faults."""
 
 import asyncio
 import tempfile
@@ -24,7 +24,7 @@
 
 
 class CatchUpTest(FleetCase):
-    async def test_after_a_gap_one_delta_holds_all_that_changed(self):
+    async def test_one_delta_covers_all_changes_missed_in_a_partition(self):
         name = self.leaf()
         self.network.isolate(f"{name}:1")
         for number in range(2, 302):
@@ -35,7 +35,7 @@
         slots = self.watcher(name).current().targets["e1"].maximum_slots
         self.assertEqual(301, slots)
 
-    async def test_a_lost_delta_is_asked_for_again(self):
+    async def test_a_lost_delta_is_requested_again(self):
         self.network.loss = 0.3
         self.fleet.change_target(2)
         await self.timer.advance(8.0)
@@ -43,7 +43,7 @@
         await self.timer.advance(3.0)
         self.assertEqual({2}, set(self.fleet.revisions().values()))
 
-    async def test_a_delta_that_does_not_match_its_digest_brings_a_full_copy(self):
+    async def test_a_digest_mismatch_leads_to_a_full_copy(self):
         name = self.leaf()
         watcher = self.watcher(name)
         watcher._copy.documents["data-centre/b"] = {"region": "damaged"}
@@ -53,7 +53,7 @@
         self.assertEqual(2, watcher.current().revision)
         self.assertEqual("s", watcher.current().data_centres["b"].region)
 
-    async def test_a_full_copy_comes_where_the_deltas_do_not_reach_back(self):
+    async def test_a_full_copy_is_fetched_if_the_deltas_do_not_reach_back(self):
         name = self.leaf()
         self.network.isolate(f"{name}:1")
         changed = {
@@ -67,7 +67,7 @@
         self.assertEqual((3, 2_100), (current.revision, len(current.organisations)))
         self.assertTrue(current.data_centres["b"].taken_out)
 
-    async def test_a_replica_that_lags_does_not_bring_an_older_revision_back(self):
+    async def test_a_lagging_replica_does_not_revert_the_revision(self):
         lagging, *others = self.fleet.replicas
         for number in range(2, 6):
             document = {**DOCUMENTS["target/e1"], "maximum_slots": number}
@@ -83,13 +83,13 @@
     async def begin(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.addAsyncCleanup(self.let_the_last_write_end)
+        self.addAsyncCleanup(self.stop_watcher)
         self.file = ConfigurationFile(folder.name)
         await self.fleet.start("v0", file=self.file)
         await self.timer.advance(1.0)
 
-    async def let_the_last_write_end(self):
-        """Stop the watcher, whose thread may still write, before the folder goes."""
+    async def stop_watcher(self):
+        """Stop the watcher and its writing thread before the folder is deleted."""
         await self.watcher("v0").stop()
 
     async def restart(self):
@@ -97,7 +97,7 @@
         await self.fleet.kill("v0")
         await self.fleet.start("v0", file=self.file)
 
-    async def test_a_restarted_vm_takes_no_work_before_a_majority_has_answered(self):
+    async def test_a_restarted_vm_has_no_lease_before_a_majority_has_answered(self):
         for address in self.fleet.control_addresses[:2]:
             self.network.isolate(address)
         await self.restart()
@@ -117,7 +117,7 @@
         self.assertEqual(501, self.watcher("v0").current().revision)
         self.assertTrue(self.watcher("v0").holds_lease())
 
-    async def test_a_damaged_file_is_left_out(self):
+    async def test_a_damaged_file_is_ignored(self):
         await self.watcher("v0").stop()
         path = next(self.file._folder.iterdir())
         path.write_bytes(path.read_bytes()[:-20])
@@ -128,7 +128,7 @@
         self.assertEqual(1, self.watcher("v0").current().revision)
 
 
-# Without shrinking, which takes minutes on a failure.
+# No shrinking: it takes minutes after a failure.
 PHASES = (Phase.explicit, Phase.generate)
 
 STEPS = st.lists(
@@ -145,7 +145,7 @@
 
 
 class RandomScheduleTest(unittest.IsolatedAsyncioTestCase):
-    """Whatever happens: no revision goes down, no lease outlives a commit."""
+    """No revision decreases, no lease outlasts a newer commit by LEASE_S."""
 
     @settings(derandomize=True, deadline=None, max_examples=60, phases=PHASES)
     @given(steps=STEPS, seed=st.integers(0, 1_000))
@@ -186,7 +186,7 @@
         changed = {**DOCUMENTS, "target/e1": document}
         message = apply_message(number, changed, base=number - 1)
         self.fleet.append(message)
-        # Committed by a majority; the third replica may apply it late.
+        # A majority has committed it; the third replica may apply it later.
         for replica in self.fleet.replicas[:2]:
             replica.apply_all()
         self.committed_s.append((self.fleet.timer.now_s(), number))
@@ -240,19 +240,19 @@
             source.apply({**delta, "changed": changed, "digest": digest})
             self.deltas.append(source.delta_since(revision - 1))
 
-    def test_a_delta_that_comes_late_changes_nothing(self):
+    def test_a_late_delta_is_ignored(self):
         for delta in (self.deltas[2], self.deltas[0], self.deltas[1]):
             self.assertTrue(self.copy.apply(delta))
         self.assertEqual((3, 3), (self.copy.revision, self.copy.as_of))
         self.assertEqual("r3", self.copy.configuration.data_centres["a"].region)
 
-    def test_a_full_copy_that_comes_late_changes_nothing(self):
+    def test_a_late_full_copy_is_ignored(self):
         self.copy.apply(self.deltas[2])
         documents = self.deltas[0]["changed"]
         self.copy.replace(1, 1, documents, digest_of_documents(documents))
         self.assertEqual(3, self.copy.revision)
 
-    def test_a_delta_with_a_wrong_digest_is_not_put_in_force(self):
+    def test_a_delta_with_a_wrong_digest_is_rejected(self):
         self.assertFalse(self.copy.apply({**self.deltas[0], "digest": "0" * 64}))
         self.assertEqual((0, {}), (self.copy.revision, self.copy.documents))
 
@@ -263,6 +263,6 @@
             voters = VoterSet(1, {str(n): "" for n in range(count)})
             self.assertEqual(majority, voters.majority)
 
-    def test_a_memory_replica_applies_only_what_was_appended(self):
+    def test_a_new_memory_replica_has_no_commands(self):
         replica = MemoryReplica("r", VoterSet())
         self.assertEqual((0, 0), (replica.newest_index(), replica.applied_index()))
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -22,7 +22,7 @@
 
     def run_command(self, name, message):
         self.index += 1
-        # A log carries JSON, so that nothing may be shared with the message.
+        # The log carries JSON: the state must not share objects with the message.
         message = json.loads(json.dumps(message))
         context = CommandContext(self.index, 1.0)
         return run_command(self.state, name, message, context)
@@ -58,14 +58,14 @@
         self.assertEqual(5.0, answer["first"]["wall_time_s"])
         self.assertEqual("digest-1", answer["first"]["digest"])
 
-    def test_a_change_made_from_an_older_folder_cannot_undo_a_newer_one(self):
+    def test_a_change_based_on_an_older_revision_is_a_conflict(self):
         self.apply(2, {"data-centre/c": {"region": "r"}}, base=1)
         answer = self.apply(3, {"data-centre/d": {"region": "r"}}, base=1, by="bob")
         self.assertEqual("base-revision", answer["reason"])
         self.assertEqual((2, "ada"), (answer["revision"], answer["first"]["operator"]))
         self.assertNotIn("data-centre/d", self.configuration.documents)
 
-    def test_a_base_revision_that_is_not_there_yet_is_a_conflict(self):
+    def test_a_future_base_revision_is_a_conflict(self):
         answer = self.apply(2, {"data-centre/c": {"region": "r"}}, base=9)
         self.assertEqual("conflict", answer["outcome"])
 
@@ -73,7 +73,7 @@
         answer = self.apply(2, {"data-centre/a": {"region": "r"}}, base=1)
         self.assertEqual(("unchanged", 1), (answer["outcome"], answer["revision"]))
 
-    def test_an_entry_that_does_not_check_is_refused_with_all_findings(self):
+    def test_an_invalid_change_is_refused_with_all_findings(self):
         changed = {
             "target/e2": {"service": "none", "url": "x", "data_centre": "a"},
             "target/e3": {"service": "none", "url": "http://x", "data_centre": "z"},
@@ -85,7 +85,7 @@
         self.assertEqual(5, len(answer["findings"]))
         self.assertEqual(1, self.configuration.revision)
 
-    def test_a_change_of_the_wrong_form_is_refused(self):
+    def test_a_malformed_change_is_refused(self):
         region = {"region": "r"}
         wrong = [
             {"changed": {"data-centre/c": "region"}},
@@ -142,13 +142,13 @@
             expected, self.configuration.effective_document("data-centre/a")
         )
 
-    def test_a_single_change_survives_even_the_loss_of_its_item(self):
+    def test_a_single_change_survives_the_removal_of_its_item(self):
         self.change("x1", "target/e1", True)
         self.apply(2, {}, base=1, removed=["target/e1"])
         self.apply(3, {"target/e1": DOCUMENTS["target/e1"]}, base=3)
         self.assertTrue(self.configuration.effective_document("target/e1")["leaving"])
 
-    def test_what_is_put_back_has_the_value_of_the_folder(self):
+    def test_removing_an_overlay_restores_the_value_of_the_folder(self):
         self.change("x1", "data-centre/a", True)
         answer = self.change("x2", "data-centre/a", False)
         self.assertEqual(3, answer["revision"])
@@ -157,7 +157,7 @@
         )
         self.assertEqual(self.first["digest"], answer["digest"])
 
-    def test_a_resent_single_change_does_not_undo_what_came_after(self):
+    def test_a_resent_single_change_does_not_undo_a_later_one(self):
         self.change("x1", "data-centre/a", True)
         self.change("x2", "data-centre/a", False)
         self.assertEqual(2, self.change("x1", "data-centre/a", True)["revision"])
