--- a/endivesill/configuration/state.py
+++ b/endivesill/configuration/state.py
@@ -35,13 +35,13 @@
 CHANGE = "configuration.change"
 COMMAND_NAMES = (APPLY, CHANGE)
 
-# Items have separate sections, because snapshots are written section by section in
-# parts.
+# Items have separate sections, because snapshots are built one part of a section at a
+# time.
 SECTION = "configuration"
 DOCUMENTS_SECTION = "configuration-documents"
 ORIGINS_SECTION = "configuration-origins"
-NUMBERS_RETAINED = 1_000
-HISTORY_RECORDS_RETAINED = 1_000
+MAX_RECORDED_ANSWERS = 1_000
+MAX_HISTORY_RECORDS = 1_000
 HISTORY_KEYS_SHOWN = 20
 
 # The field that an overlay sets, by kind of item.
@@ -204,7 +204,7 @@
                 "keys": keys[:HISTORY_KEYS_SHOWN],
             }
         )
-        del content["history"][:-HISTORY_RECORDS_RETAINED]
+        del content["history"][:-MAX_HISTORY_RECORDS]
         return self.record_answer(message, "accepted")
 
     def record_answer(self, message: Message, outcome: str) -> Message:
@@ -223,7 +223,7 @@
             "wall_time_s": message["wall_time_s"],
             "answer": answer,
         }
-        while len(numbers) > NUMBERS_RETAINED:
+        while len(numbers) > MAX_RECORDED_ANSWERS:
             del numbers[next(iter(numbers))]
         return answer
 
--- a/endivesill/membership/gossip.py
+++ b/endivesill/membership/gossip.py
@@ -1,6 +1,6 @@
 """Dissemination of updates: an immediate push, then piggybacking.
 
-A new update is pushed to a few random VMs of the own data centre and, by delegates,
+A new update is pushed to a few random VMs of the local data centre and, by delegates,
 to a delegate of each other data centre. To make up for lost datagrams it is then
 piggybacked on further datagrams, whose number grows with the logarithm of the
 number of VMs in the data centre.
--- a/endivesill/membership/identity.py
+++ b/endivesill/membership/identity.py
@@ -1,4 +1,4 @@
-"""The own state of a VM: announcements, refutations and name conflicts."""
+"""Local VM state: announcements, refutations and name conflicts."""
 
 from __future__ import annotations
 
--- a/endivesill/membership/leaving.py
+++ b/endivesill/membership/leaving.py
@@ -88,9 +88,9 @@
         )
 
     def _is_earlier(self, state: _TargetState, notice_s: float | None) -> bool:
-        """Return whether a notice of the same boot gives an earlier departure.
+        """Return whether a notice is new or gives an earlier departure.
 
-        It has to be earlier by more than one second.
+        The departure has to be earlier by more than one second.
         """
         if not state.notice.leaving:
             return True
--- a/endivesill/membership/service.py
+++ b/endivesill/membership/service.py
@@ -221,7 +221,7 @@
         self._notify()
 
     def _on_suspected(self) -> None:
-        """Reset the ages of the own homes: another VM may have held them meanwhile."""
+        """Reset the ages of the homes: another VM may have held them meanwhile."""
         self._homes.reset_since()
 
     def _update_homes(self) -> None:
--- a/endivesill/membership/settings.py
+++ b/endivesill/membership/settings.py
@@ -21,7 +21,7 @@
     """Failure detection, gossip between data centres, joining and the VM list."""
 
     probe_period_s: float = schema.field(
-        "time between probes of one VM of the own data centre",
+        "time between probes of VMs in the local data centre",
         default=0.3,
         minimum=0.05,
         maximum=60,
