--- a/bench/fake_engine.py
+++ b/bench/fake_engine.py
@@ -1,8 +1,8 @@
-"""A fake of a model engine on the manual timer, behind the adapter's interface.
+"""Simulated model engine on the manual timer, behind the interface of an adapter.
 
-It batches continuously, prefills prompts in chunks, holds limited memory and
-preempts by recomputation, keeps a limited prefix cache, honours priorities,
-and reports load and cache events late, the latter with gaps.
+It has continuous batching, chunked prefill, limited memory with preemption by
+recomputation, a limited prefix cache and priorities. Its load reports and cache
+events are delayed; some cache events are lost.
 """
 
 from __future__ import annotations
@@ -25,9 +25,17 @@
 
     Args:
       name: the target's name.
-      spec: what it is able to do.
-      timer: the timer that its steps take their time on.
+      spec: its performance and limits.
+      timer: the timer that schedules its steps.
       seed: seed of the lost cache events.
+
+    Attributes:
+      alive: whether it responds.
+      preemptions: number of preempted sequences.
+      generated: number of generated tokens.
+      cold_peak: most sequences that it had accepted since it became cold.
+      step_log: all steps, in order.
+      warm_up_remaining: completed sequences until it is warm; 0 when warm.
     """
 
     def __init__(
@@ -37,9 +45,9 @@
         self.spec = spec
         self._timer = timer
         self._random = random.Random(seed)
-        self._boots = 0
-        self._busy = False
-        self._order = 0
+        self._boot_count = 0
+        self._is_stepping = False
+        self._next_order = 0
         self.alive = True
         self.preemptions = 0
         self.generated = 0
@@ -48,70 +56,73 @@
         self._boot(cold=False)
 
     def _boot(self, *, cold: bool) -> None:
-        self._boots += 1
-        self.boot_id = f"{self.name}-{self._boots}"
+        self._boot_count += 1
+        self.boot_id = f"{self.name}-{self._boot_count}"
         self.running: list[Sequence] = []
         self.waiting: list[Sequence] = []
         self.used_tokens = 0
-        self.cold_left = self.spec.cold_answers if cold else 0
+        self.warm_up_remaining = self.spec.warm_after if cold else 0
         self.cache: collections.OrderedDict[str, None] = collections.OrderedDict()
         self.events: list[tuple[float, CacheEvent]] = []
         self.sequence = 0
         self._reports: collections.deque[tuple[float, LoadReport]] = collections.deque()
         self._report()
 
-    def turn_cold(self) -> None:
-        """Lose the cache and the warmth, but not what runs."""
-        self.cold_left = self.spec.cold_answers
+    def reset_to_cold(self) -> None:
+        """Become cold and drop the cache; running sequences continue."""
+        self.warm_up_remaining = self.spec.warm_after
         self.cache.clear()
-        self._event("cleared", "")
+        self._append_event("cleared", "")
 
-    def die(self) -> None:
-        """Break off all that runs and answer nothing."""
+    def crash(self) -> None:
+        """Fail all sequences and stop responding."""
         self.alive = False
-        lost = self.running + self.waiting
+        failed = self.running + self.waiting
         self.running, self.waiting = [], []
-        for sequence in lost:
+        for sequence in failed:
             sequence.on_end(False)
 
-    def revive(self) -> None:
-        """Boot again, cold."""
+    def restart(self) -> None:
+        """Start again with a new boot id, cold and empty."""
         self.alive = True
         self._boot(cold=True)
 
     def submit(self, sequence: Sequence) -> bool:
-        """Take a sequence; False if the engine does not answer."""
+        """Queue a sequence; return False if the engine does not respond."""
         if not self.alive:
             return False
-        sequence.order = self._order
-        self._order += 1
-        sequence.to_prefill = sequence.prompt_tokens
-        sequence.started_cold = self.cold_left > 0
+        sequence.order = self._next_order
+        self._next_order += 1
+        sequence.prefill_tokens = sequence.prompt_tokens
+        sequence.started_cold = self.warm_up_remaining > 0
         self.waiting.append(sequence)
-        if self.cold_left:
-            self.cold_peak = max(self.cold_peak, self.cold_running())
-        if not self._busy:
+        if self.warm_up_remaining:
+            self.cold_peak = max(self.cold_peak, self.count_cold_started())
+        if not self._is_stepping:
             self._begin_step()
         return True
 
-    def cold_running(self) -> int:
-        """Return how many sequences were taken since it turned cold."""
+    def count_cold_started(self) -> int:
+        """Return the number of present sequences that were submitted while cold."""
         return sum(s.started_cold for s in self.running + self.waiting)
 
     def _admit(self) -> None:
         if not self.waiting:
             return
-        self.waiting.sort(key=lambda s: (s.priority, s.produced == 0, s.order))
-        while self.waiting and len(self.running) < self.spec.maximum_batch:
+        self.waiting.sort(key=lambda s: (s.priority, s.generated_tokens == 0, s.order))
+        while self.waiting and len(self.running) < self.spec.max_batch:
             sequence = self.waiting[0]
-            need = sequence.held_tokens + 1
-            if self.used_tokens + need > self.spec.memory_tokens and self.running:
+            needed_tokens = sequence.held_tokens + 1
+            if (
+                self.used_tokens + needed_tokens > self.spec.memory_tokens
+                and self.running
+            ):
                 return
             self.waiting.pop(0)
             self.running.append(sequence)
             self.used_tokens += sequence.held_tokens
             cached = self._cached_tokens(sequence.prefix)
-            sequence.to_prefill = max(1, sequence.held_tokens - cached)
+            sequence.prefill_tokens = max(1, sequence.held_tokens - cached)
 
     def _cached_tokens(self, prefix: tuple[str, ...]) -> int:
         blocks = 0
@@ -125,60 +136,60 @@
     def _begin_step(self) -> None:
         self._admit()
         if not self.running:
-            self._busy = False
+            self._is_stepping = False
             return
-        self._busy = True
-        self._make_room()
-        decoding = [s for s in self.running if not s.to_prefill]
+        self._is_stepping = True
+        self._preempt()
+        decoding = [s for s in self.running if not s.prefill_tokens]
         budget = max(1, self.spec.chunk_tokens - len(decoding))
         done = list(decoding)
         prefilled = prompts = 0
         for sequence in self.running:
-            if not sequence.to_prefill or prefilled >= budget:
+            if not sequence.prefill_tokens or prefilled >= budget:
                 continue
-            chunk = min(sequence.to_prefill, budget - prefilled)
-            sequence.to_prefill -= chunk
+            chunk = min(sequence.prefill_tokens, budget - prefilled)
+            sequence.prefill_tokens -= chunk
             prefilled += chunk
             prompts += 1
-            if not sequence.to_prefill:
+            if not sequence.prefill_tokens:
                 done.append(sequence)
                 self._store(sequence.prefix)
         spec = self.spec
-        step_s = spec.step_base_s + spec.step_sequence_s * len(decoding)
-        step_s += spec.prefill_token_s * prefilled
-        if self.cold_left:
-            step_s *= 1 + max(0, len(self.running) - spec.cold_bears)
+        step_s = spec.step_base_s + spec.step_s_per_sequence * len(decoding)
+        step_s += spec.prefill_s_per_token * prefilled
+        if self.warm_up_remaining:
+            step_s *= 1 + max(0, len(self.running) - spec.cold_slots)
         self.step_log.append(StepRecord(step_s, len(decoding), prefilled, prompts))
         boot_id = self.boot_id
         self._timer.call_after(step_s, lambda: self._end_step(done, boot_id))
 
-    def _make_room(self) -> None:
-        """Preempt the latest sequences until each can have its next token."""
+    def _preempt(self) -> None:
+        """Preempt the least urgent, newest sequences until one token each fits."""
         while len(self.running) > 1:
             if self.used_tokens + len(self.running) <= self.spec.memory_tokens:
                 return
-            victim = max(self.running, key=lambda s: (s.priority, s.order))
-            self.running.remove(victim)
-            self.used_tokens -= victim.held_tokens
-            self.waiting.append(victim)
+            preempted = max(self.running, key=lambda s: (s.priority, s.order))
+            self.running.remove(preempted)
+            self.used_tokens -= preempted.held_tokens
+            self.waiting.append(preempted)
             self.preemptions += 1
 
     def _end_step(self, done: list[Sequence], boot_id: str) -> None:
-        self._busy = False
+        self._is_stepping = False
         if not self.alive or boot_id != self.boot_id:
             return
         now_s = self._timer.now_s()
         ended = []
         for sequence in done:
-            sequence.produced += 1
+            sequence.generated_tokens += 1
             sequence.on_token(now_s)
-            if sequence.produced >= sequence.output_tokens:
+            if sequence.generated_tokens >= sequence.output_tokens:
                 ended.append(sequence)
         self.generated += len(done)
         for sequence in ended:
             if sequence in self.running:
                 self.running.remove(sequence)
-            self.cold_left = max(0, self.cold_left - 1)
+            self.warm_up_remaining = max(0, self.warm_up_remaining - 1)
         self.used_tokens = sum(s.held_tokens for s in self.running)
         self._report()
         self._begin_step()
@@ -191,12 +202,12 @@
                 self.cache.move_to_end(block)
                 continue
             self.cache[block] = None
-            self._event("stored", block)
+            self._append_event("stored", block)
         while len(self.cache) * PREFIX_BLOCK_TOKENS > self.spec.cache_tokens:
             block, _ = self.cache.popitem(last=False)
-            self._event("evicted", block)
+            self._append_event("evicted", block)
 
-    def _event(self, kind: str, block: str) -> None:
+    def _append_event(self, kind: str, block: str) -> None:
         self.sequence += 1
         event = CacheEvent(self.sequence, kind, block, PREFIX_BLOCK_TOKENS)
         self.events.append((self._timer.now_s(), event))
@@ -218,16 +229,18 @@
         self._reports.append((now_s, report))
 
     def load_report(self) -> LoadReport:
-        """Return the newest report that is older than the lag."""
-        limit_s = self._timer.now_s() - self.spec.report_lag_s
-        while len(self._reports) > 1 and self._reports[1][0] <= limit_s:
+        """Return the newest report that is at least the report lag old."""
+        visible_until_s = self._timer.now_s() - self.spec.report_lag_s
+        while len(self._reports) > 1 and self._reports[1][0] <= visible_until_s:
             self._reports.popleft()
         return self._reports[0][1]
 
     def cache_events(self, after: int) -> CacheEvents:
-        """Return the events after a number that are older than the lag."""
-        limit_s = self._timer.now_s() - self.spec.report_lag_s
-        found = [e for t, e in self.events if e.sequence > after and t <= limit_s]
+        """Return the events after a sequence number, delayed and with losses."""
+        visible_until_s = self._timer.now_s() - self.spec.report_lag_s
+        found = [
+            e for t, e in self.events if e.sequence > after and t <= visible_until_s
+        ]
         if after:
             loss = self.spec.cache_event_loss
             found = [e for e in found if self._random.random() >= loss]
@@ -236,17 +249,25 @@
 
 
 class FakeEngines:
-    """The fake engines by target, with the control calls of the adapter."""
+    """The simulated engines by target, with the control calls of an adapter."""
 
     def __init__(self, engines: dict[str, FakeEngine]) -> None:
         self.engines = engines
 
     async def load(self, target: Target) -> LoadReport:
-        """Return an engine's late load report."""
+        """Return an engine's delayed load report.
+
+        Raises:
+          TargetError: the engine does not respond.
+        """
         return self._find(target).load_report()
 
     async def cache_events(self, target: Target, after: int) -> CacheEvents:
-        """Return an engine's late cache events."""
+        """Return an engine's delayed cache events.
+
+        Raises:
+          TargetError: the engine does not respond.
+        """
         return self._find(target).cache_events(after)
 
     def _find(self, target: Target) -> FakeEngine:
--- a/bench/fault_proxy.py
+++ b/bench/fault_proxy.py
@@ -53,7 +53,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Start to listen.
+        """Start listening.
 
         Raises:
           OSError: the address cannot be bound.
@@ -64,7 +64,7 @@
         self.address = f"{bound_address[0]}:{bound_address[1]}"
 
     async def stop(self) -> None:
-        """Stop to listen and reset all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.set(LinkState.RESET)
--- a/bench/membership_trials.py
+++ b/bench/membership_trials.py
@@ -80,7 +80,7 @@
         self.watch(name, await self.fleet.start(name))
 
     async def start_all(self) -> None:
-        for name in self.fleet.places:
+        for name in self.fleet.locations:
             await self.start(name)
         await self.fleet.timer.advance(5.0)
 
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -106,7 +106,7 @@
             deadline_s=DEADLINE_S,
             queue_limit=plan.queue_limit,
         )
-        self.spec = EngineSpec(cold_bears=COLD_SLOTS)
+        self.spec = EngineSpec(cold_slots=COLD_SLOTS)
         self.organisations = [
             Organisation(f"o{i}", key_sha256="0" * 64) for i in range(10)
         ]
@@ -209,7 +209,7 @@
                 self.figures.completed += measured
                 return
             excluded.add(grant.target.name)
-            if attempt.sequence.produced:
+            if attempt.sequence.generated_tokens:
                 break
         self.figures.broken += measured
 
@@ -220,10 +220,10 @@
     def note_cold_start(self, target: Target) -> None:
         """Compare a start on a cold engine with the target's allowance."""
         engine = self.engines[target.name]
-        if not engine.cold_left or self.plan.policy != "credit":
+        if not engine.warm_up_remaining or self.plan.policy != "credit":
             return
         allowance = self.allowance_slots(target)
-        excess = engine.cold_running() + 1 - allowance
+        excess = engine.count_cold_started() + 1 - allowance
         self.figures.cold_excess = max(self.figures.cold_excess, excess)
 
     def note_gap(self, gap_s: float) -> None:
@@ -254,8 +254,8 @@
         end_s = WARM_UP_S + 0.5 * span_s
         faults: dict[str, list[tuple[float, Callable[[], None]]]] = {
             "": [],
-            "turns-cold": [(begin_s, first.turn_cold)],
-            "dies": [(begin_s, first.die), (end_s, first.revive)],
+            "turns-cold": [(begin_s, first.reset_to_cold)],
+            "dies": [(begin_s, first.crash), (end_s, first.restart)],
             "data-centre": [
                 (begin_s, lambda: self._take_out(True)),
                 (end_s - 1.0, self._chill_closed),
@@ -271,7 +271,7 @@
     def _chill_closed(self) -> None:
         for target in self.configuration.targets.values():
             if self.closed(target):
-                self.engines[target.name].turn_cold()
+                self.engines[target.name].reset_to_cold()
 
 
 class Attempt:
--- a/bench/standin_engine.py
+++ b/bench/standin_engine.py
@@ -1,7 +1,7 @@
-"""A stand-in for a model engine; it speaks the protocol of docs/TARGETS.md.
+"""Stand-in for a model engine with the protocol of docs/TARGETS.md.
 
-Text is made of numbered words, so that a test can check each token. It keeps
-finished generations for a while, so that they can be resumed.
+Tokens are numbered words, so that tests can check each of them. Finished generations
+are retained up to a limit, so that they can be resumed.
 """
 
 from __future__ import annotations
@@ -31,25 +31,25 @@
 
 __all__ = ["EngineOptions", "StandinEngine", "main"]
 
-KEPT_GENERATIONS = 10_000
+MAX_GENERATIONS = 10_000
 NOT_RUN = {"X-Run": "not-run"}
 
 
 @attrs.define
 class EngineOptions:
-    """How a stand-in engine behaves.
+    """Behaviour of a stand-in engine.
 
     Attributes:
-      token_s: time between tokens while there are enough slots.
-      slots: requests at once before it slows down when warm.
-      cold_slots: the same when cold; 0 starts warm.
-      warm_after: answers after which it is warm.
-      memory_tokens: tokens that its memory holds.
-      report_lag_s: how old the load reports are.
+      token_s: time between tokens while no more generations run than slots.
+      slots: concurrent generations without a slowdown when warm.
+      cold_slots: concurrent generations without a slowdown when cold; 0 starts warm.
+      warm_after: completed generations after which it is warm.
+      memory_tokens: memory size that it reports.
+      report_lag_s: age of its load reports.
       checks_fencing: whether orders with an old fencing token are refused.
-      offers_moves: whether it hands generations to other engines.
-      orphan_s: how long a generation goes on with no reader.
-      seed: seed of the lengths that callers leave open.
+      offers_moves: whether it moves generations to other engines.
+      orphan_s: how long a generation continues without a reader.
+      seed: seed of output lengths that requests leave open.
     """
 
     token_s: float = 0.01
@@ -65,17 +65,25 @@
 
 
 class StandinEngine:
-    """The engine's state and HTTP routes.
+    """State and HTTP routes of the engine.
 
     Args:
-      options: how it behaves.
-      record: file to which the `user` of each generation started is added.
+      options: its behaviour; may be changed at any time.
+      record: file to which the `user` of each started generation is appended.
       timer: the timer service.
 
     Attributes:
-      starts: how often each generation was started.
-      cancelled: the generations that were cancelled.
-      refusing: whether it refuses new work with its own word.
+      boot_id: id of this start of the engine.
+      generations: the retained generations by id, in order of their start.
+      starts: how often each generation was started, by id.
+      cancelled: ids of the cancelled generations, in order.
+      orders: the orders executed, by id.
+      fencing_token: the highest fencing token seen.
+      running: number of running generations.
+      completed: number of completed generations since it was cold.
+      generated_tokens: number of tokens generated.
+      refusing: whether it refuses new work as not run.
+      leaves_at_s: when it will be reclaimed; None without a notice.
     """
 
     def __init__(
@@ -93,7 +101,7 @@
         self.orders: dict[str, dict[str, Any]] = {}
         self.fencing_token = 0
         self.running = 0
-        self.answered = 0
+        self.completed = 0
         self.generated_tokens = 0
         self.refusing = False
         self.leaves_at_s: float | None = None
@@ -119,19 +127,21 @@
                 Route("/v1/load", self._load),
                 Route("/v1/cache-events", self._list_cache_events),
                 Route("/v1/orders", self._order, methods=["POST"]),
-                Route("/standin/ran", self._ran),
-                Route("/standin/leave", self._leave, methods=["POST"]),
-                Route("/standin/cool", self._cool, methods=["POST"]),
+                Route("/standin/ran", self._list_starts),
+                Route("/standin/leave", self._give_notice, methods=["POST"]),
+                Route("/standin/cool", self._reset_to_cold, methods=["POST"]),
             ]
         )
 
     @property
     def is_cold(self) -> bool:
-        """Whether it bears only a few requests at once."""
-        return self.answered < self.options.warm_after and bool(self.options.cold_slots)
+        """Whether it slows down beyond `cold_slots` instead of `slots`."""
+        return self.completed < self.options.warm_after and bool(
+            self.options.cold_slots
+        )
 
     def slowdown(self) -> float:
-        """Return by how much the load slows each token down."""
+        """Return the factor by which overload lengthens the time between tokens."""
         slots = self.options.cold_slots if self.is_cold else self.options.slots
         overload = max(1.0, self.running / slots)
         return overload * overload
@@ -151,20 +161,20 @@
         self.starts[generation.generation_id] = (
             self.starts.get(generation.generation_id, 0) + 1
         )
-        self._note(str(document.get("user", generation.generation_id)))
+        self._record_tag(str(document.get("user", generation.generation_id)))
         self._cache.store(prompt)
-        self._begin(generation)
-        return self._streaming(request, generation, 0)
+        self._start_generation(generation)
+        return self._stream_response(request, generation, 0)
 
-    def _note(self, tag: str) -> None:
+    def _record_tag(self, tag: str) -> None:
         if self._record is not None:
             with self._record.open("a", encoding="utf-8") as record:
                 record.write(tag + "\n")
 
-    def _begin(self, generation: StandinGeneration) -> None:
+    def _start_generation(self, generation: StandinGeneration) -> None:
         generation.orphaned_s = self.timer.now_s()
         self.generations[generation.generation_id] = generation
-        while len(self.generations) > KEPT_GENERATIONS:
+        while len(self.generations) > MAX_GENERATIONS:
             self.generations.pop(next(iter(self.generations)))
         asyncio.ensure_future(self._decode(generation))
 
@@ -183,7 +193,7 @@
         finally:
             self.running -= 1
         if generation.tokens >= generation.length:
-            self.answered += 1
+            self.completed += 1
 
     def _is_orphan(self, generation: StandinGeneration) -> bool:
         if generation.readers:
@@ -193,19 +203,19 @@
         generation.cancelled = True
         return True
 
-    def _streaming(
+    def _stream_response(
         self, request: Request, generation: StandinGeneration, next_index: int
     ) -> Response:
         attempt_id = request.headers.get("x-attempt-id", "")
         generation.attempt_id = attempt_id
         generation.notify()
         return StreamingResponse(
-            self._events(generation, attempt_id, next_index),
+            self._stream_events(generation, attempt_id, next_index),
             media_type="text/event-stream",
             headers={"X-Attempt-Id": attempt_id},
         )
 
-    async def _events(
+    async def _stream_events(
         self, generation: StandinGeneration, attempt_id: str, next_index: int
     ) -> AsyncIterator[bytes]:
         index = next_index
@@ -239,7 +249,7 @@
         next_index = int(request.query_params.get("from", "0"))
         if next_index > generation.length:
             return Response(status_code=400)
-        return self._streaming(request, generation, next_index)
+        return self._stream_response(request, generation, next_index)
 
     async def _cancel(self, request: Request) -> Response:
         generation = self.generations.get(request.path_params["id"])
@@ -278,20 +288,20 @@
     async def _adopt(self, request: Request) -> Response:
         if self.refusing:
             return Response(status_code=503, headers=NOT_RUN)
-        self._begin(StandinGeneration(**json.loads(await request.body())))
+        self._start_generation(StandinGeneration(**json.loads(await request.body())))
         return JSONResponse({})
 
     def _report(self) -> dict[str, Any]:
         leaving_in_s = None
         if self.leaves_at_s is not None:
             leaving_in_s = max(0.0, self.leaves_at_s - self.timer.now_s())
-        live = [g for g in self.generations.values() if not g.is_over]
+        active = [g for g in self.generations.values() if not g.is_over]
         return {
             "boot_id": self.boot_id,
             "running": self.running,
             "waiting": 0,
             "memory_tokens": self.options.memory_tokens,
-            "used_tokens": sum(g.tokens + g.prompt_tokens for g in live),
+            "used_tokens": sum(g.tokens + g.prompt_tokens for g in active),
             "preemptions": 0,
             "generated_tokens": self.generated_tokens,
             "leaving_in_s": leaving_in_s,
@@ -311,7 +321,9 @@
 
     async def _list_cache_events(self, request: Request) -> Response:
         after = int(request.query_params.get("after", "0"))
-        return JSONResponse({"boot_id": self.boot_id, **self._cache.after(after)})
+        return JSONResponse(
+            {"boot_id": self.boot_id, **self._cache.events_after(after)}
+        )
 
     async def _order(self, request: Request) -> Response:
         order = json.loads(await request.body())
@@ -330,23 +342,23 @@
             self.role = order["subject"]
         return JSONResponse(self._report())
 
-    async def _ran(self, request: Request) -> Response:
+    async def _list_starts(self, request: Request) -> Response:
         return JSONResponse(self.starts)
 
-    async def _leave(self, request: Request) -> Response:
+    async def _give_notice(self, request: Request) -> Response:
         in_s = float(request.query_params.get("in_s", "5"))
         self.leaves_at_s = self.timer.now_s() + in_s
         return JSONResponse({})
 
-    async def _cool(self, request: Request) -> Response:
-        """Turn cold again, with no word of it but the cleared cache."""
-        self.answered = 0
+    async def _reset_to_cold(self, request: Request) -> Response:
+        """Become cold again, visible to others only as the cleared cache."""
+        self.completed = 0
         self._cache.clear()
         return JSONResponse({})
 
 
 def _is_owner(request: Request, generation: StandinGeneration) -> bool:
-    """Tell whether no other attempt than the caller's has taken it over."""
+    """Tell whether the generation's last attempt is one of the caller's."""
     attempts = request.headers.get("x-previous-attempts")
     return attempts is None or generation.attempt_id in attempts.split(",")
 
@@ -372,7 +384,7 @@
     record: pathlib.Path | None = None,
     seed: int = 1,
 ) -> None:
-    """Run a stand-in engine until it is stopped."""
+    """Run a stand-in engine until the process is stopped."""
     options = EngineOptions(
         token_s=token_s,
         slots=slots,
--- a/bench/standin_generation.py
+++ b/bench/standin_generation.py
@@ -1,4 +1,4 @@
-"""The generations of the stand-in engine."""
+"""Generations of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @attrs.define(eq=False)
 class StandinGeneration:
-    """A generation with the tokens that it has so far.
+    """A generation and its progress.
 
     Attributes:
-      generation_id: given by the entry.
-      length: how many tokens it will have.
+      generation_id: its id, given by the entry.
+      length: number of tokens when complete.
       chat: whether its events are chat chunks.
-      prompt_tokens: the length of its prompt.
-      priority: 0 is first.
-      tokens: how many tokens there are.
+      prompt_tokens: length of its prompt.
+      priority: 0 is the most urgent.
+      tokens: number of tokens generated so far.
       cancelled: whether it was cancelled.
-      is_moving: whether it stands still to be handed over.
-      moved_to: the address of the engine that has it now.
-      attempt_id: the last attempt that streams it.
-      readers: how many connections stream it.
-      orphaned_s: when the last of them went away.
-      changed: set after each change.
+      is_moving: whether it is suspended while it moves to another engine.
+      moved_to: URL of the engine to which it has moved; empty if it has not.
+      attempt_id: the latest attempt that streams it.
+      readers: number of connections that stream it.
+      orphaned_s: when it was started or last lost a reader.
+      changed: set at the next change, then replaced; see `notify`.
     """
 
     generation_id: str
@@ -47,7 +47,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether no more tokens will come here."""
+        """Whether this engine will generate no more tokens of it."""
         return self.cancelled or bool(self.moved_to) or self.tokens >= self.length
 
     def event(self, index: int) -> bytes:
@@ -63,12 +63,12 @@
         return f"id: {self.generation_id}:{index}\ndata: {data}\n\n".encode()
 
     def notify(self) -> None:
-        """Wake the connections that stream it."""
+        """Wake the connections that stream it, after a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def to_document(self) -> dict[str, Any]:
-        """Return what another engine needs to go on with it."""
+        """Return the body of the request with which another engine adopts it."""
         names = ("generation_id", "length", "chat", "prompt_tokens", "priority")
         document = {name: getattr(self, name) for name in names}
         return {**document, "tokens": self.tokens, "attempt_id": self.attempt_id}
--- a/bench/standin_plain.py
+++ b/bench/standin_plain.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: it books, and remembers what it ran."""
+"""Stand-in for a plain service; it records the calls that it ran."""
 
 from __future__ import annotations
 
@@ -21,16 +21,15 @@
 
 
 class StandinPlain:
-    """The service's state and HTTP routes.
+    """State and HTTP routes of the service.
 
     Args:
-      delay_s: time before each answer.
-      record: file to which the body of each call that it ran is added.
+      delay_s: delay of each response.
+      record: file to which the body of each call that ran is appended.
 
     Attributes:
-      ran: the calls that it ran.
-      refusing: whether it refuses calls with its own word that it has not run
-        them.
+      ran: the calls that ran, in order.
+      refusing: whether it refuses calls as not run.
     """
 
     def __init__(
@@ -45,8 +44,8 @@
         """Return the ASGI application."""
         return Starlette(
             routes=[
-                Route("/standin/ran", self._list),
-                Route("/standin/refuse", self._refuse, methods=["POST"]),
+                Route("/standin/ran", self._list_calls),
+                Route("/standin/refuse", self._set_refusing, methods=["POST"]),
                 Route("/{path:path}", self._call, methods=METHODS),
             ]
         )
@@ -74,10 +73,10 @@
             media_type="application/json",
         )
 
-    async def _list(self, request: Request) -> Response:
+    async def _list_calls(self, request: Request) -> Response:
         return JSONResponse(self.ran)
 
-    async def _refuse(self, request: Request) -> Response:
+    async def _set_refusing(self, request: Request) -> Response:
         self.refusing = request.query_params.get("on", "yes") == "yes"
         return JSONResponse({})
 
@@ -89,7 +88,7 @@
     delay_s: float = 0.0,
     record: pathlib.Path | None = None,
 ) -> None:
-    """Run a stand-in plain service until it is stopped."""
+    """Run a stand-in plain service until the process is stopped."""
 
     async def run() -> None:
         server = HttpServer(address, StandinPlain(delay_s, record).application())
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -53,7 +53,7 @@
     async def test_vm_replaced_at_the_same_address_is_another_vm(self):
         address = self.fleet.address("vm-7")
         await self.fleet.kill("vm-7")
-        self.fleet.places["vm-8"] = ("c", address)
+        self.fleet.locations["vm-8"] = ("c", address)
         await self.fleet.start("vm-8")
         await self.timer.advance(2 * DETECTION_S)
         self.assertEqual({VmState.GONE}, self.fleet.states("vm-7"))
@@ -78,7 +78,7 @@
 
     async def test_partitioned_data_centre_returns_without_flapping(self):
         inside = self.fleet.in_data_centre("a")
-        outside = [name for name in self.fleet.places if name not in inside]
+        outside = [name for name in self.fleet.locations if name not in inside]
         self.fleet.partition(inside)
         await self.timer.advance(2 * DETECTION_S)
         for name in inside:
@@ -115,13 +115,13 @@
         for one in self.fleet.in_data_centre("a"):
             for other in self.fleet.in_data_centre("b"):
                 network.cut(address(one), address(other))
-        seen = await self.advance_watching(60.0, list(self.fleet.places))
+        seen = await self.advance_watching(60.0, list(self.fleet.locations))
         self.assertNotIn(VmState.GONE, seen)
 
     async def test_no_vm_is_falsely_gone_at_two_percent_loss(self):
         self.fleet.network.loss = 0.02
         self.fleet.network.jitter_s = 0.01
-        seen = await self.advance_watching(120.0, list(self.fleet.places))
+        seen = await self.advance_watching(120.0, list(self.fleet.locations))
         self.assertNotIn(VmState.GONE, seen)
 
 
@@ -150,7 +150,7 @@
         inside = self.fleet.in_data_centre("a")
         await self.fleet.start("vm-1")
         self.fleet.partition(inside)
-        for name in list(self.fleet.places)[1:]:
+        for name in list(self.fleet.locations)[1:]:
             await self.fleet.start(name)
         await self.timer.advance(10.0)
         self.assertFalse(self.fleet.is_converged())
@@ -167,13 +167,13 @@
 
     async def test_rolling_restart_of_all_vms_without_a_false_death(self):
         targets = make_targets(60, ["a", "b", "c"])
-        for name in list(self.fleet.places):
+        for name in list(self.fleet.locations):
             member = self.fleet.members[name]
             await member.leave()
             await self.timer.advance(1.0)
             await member.depart()
             await self.fleet.kill(name)
-            others = [other for other in self.fleet.places if other != name]
+            others = [other for other in self.fleet.locations if other != name]
             seen = await self.advance_watching(2.0, others)
             self.assertEqual({VmState.ALIVE}, seen)
             await self.fleet.start(name)
@@ -213,7 +213,7 @@
 
     async def test_two_processes_with_one_name_do_not_both_hold_homes(self):
         old = self.fleet.members.pop("vm-2")
-        self.fleet.places["vm-2"] = ("a", "10.0.9.9:7000")
+        self.fleet.locations["vm-2"] = ("a", "10.0.9.9:7000")
         new = await self.fleet.start("vm-2")
         await self.timer.advance(4 * DETECTION_S)
         targets = make_targets(30, ["a"])
--- a/tests/test_membership_leaving.py
+++ b/tests/test_membership_leaving.py
@@ -133,8 +133,8 @@
         self.assertTrue(self.fleet.is_converged())
 
     async def test_unknown_vm_of_the_list_joins(self):
-        self.fleet.places["vm-9"] = ("b", "10.0.0.9:7000")
-        self.fleet.join = ()
+        self.fleet.locations["vm-9"] = ("b", "10.0.0.9:7000")
+        self.fleet.join_addresses = ()
         await self.fleet.start("vm-9")
         self.apply(1.0, ListedVm("vm-9", address="10.0.0.9:7000"))
         await self.fleet.timer.advance(10.0)
