--- a/bench/standin_cache.py
+++ b/bench/standin_cache.py
@@ -40,7 +40,7 @@
         self._prefixes.clear()
         self._append_event("cleared", "", 0)
 
-    def events_after(self, sequence: int) -> dict[str, Any]:
+    def since(self, sequence: int) -> dict[str, Any]:
         """Return the events after a sequence number, and the oldest number retained."""
         oldest_sequence = self._events[0]["sequence"] if self._events else 1
         newer = [event for event in self._events if event["sequence"] > sequence]
--- a/bench/standin_engine.py
+++ b/bench/standin_engine.py
@@ -73,15 +73,8 @@
       timer: the timer service.
 
     Attributes:
-      boot_id: id of this start of the engine.
-      generations: the retained generations by id, in order of their start.
       starts: how often each generation was started, by id.
       cancelled: ids of the cancelled generations, in order.
-      orders: the orders executed, by id.
-      fencing_token: the highest fencing token seen.
-      running: number of running generations.
-      completed: number of completed generations since it was cold.
-      generated_tokens: number of tokens generated.
       refusing: whether it refuses new work as not run.
       leaves_at_s: when it will be reclaimed; None without a notice.
     """
@@ -101,7 +94,7 @@
         self.orders: dict[str, dict[str, Any]] = {}
         self.fencing_token = 0
         self.running = 0
-        self.completed = 0
+        self.finished = 0
         self.generated_tokens = 0
         self.refusing = False
         self.leaves_at_s: float | None = None
@@ -136,9 +129,7 @@
     @property
     def is_cold(self) -> bool:
         """Whether it slows down beyond `cold_slots` instead of `slots`."""
-        return self.completed < self.options.warm_after and bool(
-            self.options.cold_slots
-        )
+        return self.finished < self.options.warm_after and bool(self.options.cold_slots)
 
     def slowdown(self) -> float:
         """Return the factor by which overload lengthens the time between tokens."""
@@ -193,7 +184,7 @@
         finally:
             self.running -= 1
         if generation.tokens >= generation.length:
-            self.completed += 1
+            self.finished += 1
 
     def _is_orphan(self, generation: StandinGeneration) -> bool:
         if generation.readers:
@@ -321,9 +312,7 @@
 
     async def _list_cache_events(self, request: Request) -> Response:
         after = int(request.query_params.get("after", "0"))
-        return JSONResponse(
-            {"boot_id": self.boot_id, **self._cache.events_after(after)}
-        )
+        return JSONResponse({"boot_id": self.boot_id, **self._cache.since(after)})
 
     async def _order(self, request: Request) -> Response:
         order = json.loads(await request.body())
@@ -352,7 +341,7 @@
 
     async def _reset_to_cold(self, request: Request) -> Response:
         """Become cold again, visible to others only as the cleared cache."""
-        self.completed = 0
+        self.finished = 0
         self._cache.clear()
         return JSONResponse({})
 
--- a/bench/worst_load.py
+++ b/bench/worst_load.py
@@ -66,7 +66,7 @@
 # A new engine starts this long after the departure notice of another.
 REPLACEMENT_DELAY_S = 4.0
 # A request with a longer gap between two events counts as late.
-MAX_ON_TIME_GAP_S = 0.18
+MAX_GAP_S = 0.18
 # Sessions and organisations with fewer requests do not count as starved.
 MIN_STARVED_REQUESTS = 4
 # Tokens generated between two updates of a backup copy, lost when it takes over.
@@ -96,7 +96,7 @@
         """Whether it was served, but missed its target latency or had a long gap."""
         target_s = find_class(self.arrival.kind).target_latency_s
         return self.served and (
-            self.first_event_s > target_s or self.max_gap_s > MAX_ON_TIME_GAP_S
+            self.first_event_s > target_s or self.max_gap_s > MAX_GAP_S
         )
 
     @property
@@ -297,20 +297,16 @@
 
 def _figures(outcomes: list[Outcome]) -> dict[str, float]:
     count = max(1, len(outcomes))
-    attainable = sum(
-        item.size * find_class(item.arrival.kind).worth for item in outcomes
-    )
+    maximum = sum(item.size * find_class(item.arrival.kind).worth for item in outcomes)
     broken = [i for i in outcomes if not i.served and i.first_event_s < math.inf]
     return {
-        "worth": round(sum(item.worth for item in outcomes) / max(1.0, attainable), 4),
+        "worth": round(sum(item.worth for item in outcomes) / max(1.0, maximum), 4),
         "served": round(sum(item.served for item in outcomes) / count, 4),
         "refused": round(
             sum(i.refusals > 0 and not i.served for i in outcomes) / count, 4
         ),
         "late": round(sum(item.is_late for item in outcomes) / count, 4),
-        "pauses": round(
-            sum(i.served and i.max_gap_s > MAX_ON_TIME_GAP_S for i in outcomes), 4
-        ),
+        "pauses": round(sum(i.served and i.max_gap_s > MAX_GAP_S for i in outcomes), 4),
         "broken": len(broken),
         "starved": _starved(outcomes),
         "largest_tenth": _largest_tenth(outcomes),
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""Tests of what the benches share."""
+"""Tests of the modules that the benches share."""
 
 import pathlib
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class CompareTest(unittest.TestCase):
-    def test_figures_of_both_runs_stand_side_by_side(self):
+    def test_figures_of_two_runs_are_compared_by_name(self):
         runs = []
         for value in (2.0, 3.0):
             report = Report("x")
@@ -25,7 +25,7 @@
 
 
 class PlotTest(unittest.TestCase):
-    def test_a_plot_is_well_formed_and_escapes_its_labels(self):
+    def test_a_plot_is_well_formed_and_escapes_labels(self):
         svg = line_plot("a < b", "x", "y", [Line("l & m", [(0, 1), (2, 3)])])
         root = ElementTree.fromstring(svg)
         self.assertTrue(root.tag.endswith("svg"))
@@ -33,7 +33,7 @@
 
 
 class FitTest(unittest.TestCase):
-    def test_points_on_a_line_have_no_residual(self):
+    def test_collinear_points_have_no_residual(self):
         fit = fit_line([(1, 5.0), (2, 7.0), (4, 11.0)])
         self.assertAlmostEqual(2.0, fit.slope)
         self.assertAlmostEqual(3.0, fit.intercept)
@@ -46,7 +46,7 @@
 
 
 class LoadPlotTest(unittest.TestCase):
-    def test_both_policies_stand_in_one_plot_by_load(self):
+    def test_one_plot_by_load_shows_both_policies(self):
         results = [
             {"name": f"load {load}, 1 VM {policy} stall time", "value": 1, "unit": "s"}
             for load in ("0.7", "1.0")
