--- a/bench/fake_engine.py
+++ b/bench/fake_engine.py
@@ -33,7 +33,7 @@
       alive: whether it responds.
       preemptions: number of preempted sequences.
       generated: number of generated tokens.
-      cold_peak: most sequences that it had accepted since it became cold.
+      cold_peak: most sequences present at a time that were submitted while cold.
       step_log: all steps, in order.
       warm_up_remaining: completed sequences until it is warm; 0 when warm.
     """
--- a/bench/fault_proxy.py
+++ b/bench/fault_proxy.py
@@ -90,7 +90,7 @@
         try:
             await self._relay(reader, writer)
         except (OSError, EOFError):
-            # One end has failed; the other one is closed in `_relay`.
+            # One end has failed; close the other one too.
             writer.transport.abort()
         except asyncio.CancelledError:
             # Cancelled by `stop`; the task's result is not used.
--- a/bench/standin_engine.py
+++ b/bench/standin_engine.py
@@ -74,7 +74,7 @@
 
     Attributes:
       starts: how often each generation was started, by id.
-      cancelled: ids of the cancelled generations, in order.
+      cancelled: ids of the generations cancelled by a request, in order.
       refusing: whether it refuses new work as not run.
       leaves_at_s: when it will be reclaimed; None without a notice.
     """
