--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -19,15 +19,15 @@
 
 from bench.report import Report
 from endivesill import events
-from endivesill.fleet.follower import FleetFollower
 from endivesill.fleet.model import (
     EngineInfo,
     FleetConfiguration,
     RequestKind,
     Route,
     Service,
-    ServiceShare,
+    WeightedService,
 )
+from endivesill.fleet.sync_client import FleetSyncClient
 from endivesill.forwarding.call_log import CallLog
 from endivesill.forwarding.events import request_failed
 from endivesill.forwarding.forwarder import Forwarder
@@ -36,7 +36,7 @@
 from endivesill.forwarding.route_table import RouteTable
 from endivesill.forwarding.statistics import Statistics
 from endivesill.forwarding.targets import TargetTable
-from endivesill.forwarding.waiting import Admission
+from endivesill.forwarding.waiting import AdmissionQueue
 from endivesill.http1 import (
     ConnectionPool,
     Exchange,
@@ -63,7 +63,7 @@
     5.0,
     1.0,
     1,
-    (ServiceShare("app", 1.0),),
+    (WeightedService("app", 1.0),),
     2,
     True,
     0.0,
@@ -77,7 +77,7 @@
     def __init__(self, targets: list[str], *, logs: bool) -> None:
         timer = SystemTimer()
         transport = MemoryNetwork(timer).transport("entry")
-        follower = FleetFollower(timer, transport, (), dict, lambda news: None)
+        follower = FleetSyncClient(timer, transport, (), dict, lambda news: None)
         table = TargetTable(timer, follower.view, "a")
         for number, address in enumerate(targets):
             identity = f"t{number}"
@@ -85,11 +85,11 @@
                 identity, identity, "app", address, "a", 100, False, 0.0
             )
         table.update_engines()
-        admission = Admission(
+        admission = AdmissionQueue(
             timer,
             table,
             lambda service: 1e9,
-            lambda request, target: target.take(request.need),
+            lambda request, target: target.reserve(request.demand),
             random.Random(1),
         )
         forwarder = Forwarder(
--- a/bench/worst_load.py
+++ b/bench/worst_load.py
@@ -49,7 +49,7 @@
     order_copy,
 )
 from endivesill import events
-from endivesill.forwarding.refusals import within_time_s
+from endivesill.forwarding.refusals import cap_retry_after_s
 from endivesill.timer import ManualTimer
 
 LOADS = (0.7, 1.0, 1.3, 2.0)
@@ -171,7 +171,7 @@
             if outcome.refusals > 1:
                 return
             # Callers come back once, after a part of their time at the latest.
-            await self._timer.sleep(within_time_s(grant.retry_after_s, left_s))
+            await self._timer.sleep(cap_retry_after_s(grant.retry_after_s, left_s))
 
     async def _generate(self, outcome: Outcome, grant: Grant) -> None:
         done = asyncio.get_running_loop().create_future()
--- a/bench/worst_load_engines.py
+++ b/bench/worst_load_engines.py
@@ -9,12 +9,12 @@
 import attrs
 
 from bench.worst_load_arrivals import Arrival
-from endivesill.fleet.model import EngineInfo, EngineMemory, Service
+from endivesill.fleet.model import EngineInfo, ModelEngineSpec, Service
 
 __all__ = ["SERVICE", "Copy", "SimEngine", "SimRun"]
 
 # The engines of the users' sheets.
-MEMORY = EngineMemory(24, 34_000, 4, has_backups=True, has_moves=True)
+MEMORY = ModelEngineSpec(24, 34_000, 4, has_backups=True, has_moves=True)
 SERVICE = Service("llm", "/health", 200, 1.0, 40.0, MEMORY)
 STEP_S = 0.007
 # What one more run adds to a step: about what the users' engines show.
--- a/bench/worst_load_policies.py
+++ b/bench/worst_load_policies.py
@@ -20,16 +20,16 @@
     SimEngine,
     SimRun,
 )
-from endivesill.fleet.follower import FleetView
 from endivesill.fleet.load import FleetLoads
 from endivesill.fleet.reports import EngineReport
-from endivesill.forwarding.fair_queue import FairQueue, Flow, Order
-from endivesill.forwarding.home import PlacementHome
-from endivesill.forwarding.placement import READ_TOKENS_PER_S, need_of
+from endivesill.fleet.sync_client import FleetView
+from endivesill.forwarding.fair_queue import FairQueue, Flow, SortKey
+from endivesill.forwarding.placement import PREFILL_TOKENS_PER_S, estimate_demand
+from endivesill.forwarding.placement_service import PlacementService
 from endivesill.forwarding.placer import (
-    RESERVE_SHARE,
-    RETURN_WAIT_S,
-    RETURN_WAIT_SHARE,
+    LATENCY_RESERVE_FRACTION,
+    REFUSED_MAX_WAIT_FRACTION,
+    REFUSED_MAX_WAIT_S,
 )
 from endivesill.forwarding.protocol import RequestInfo
 from endivesill.forwarding.targets import TargetTable
@@ -144,7 +144,7 @@
         self._loads = FleetLoads()
         self._table = TargetTable(fleet.timer, self._view, "")
         self._seen = 0
-        self._home = PlacementHome(
+        self._home = PlacementService(
             fleet.timer,
             self._table,
             self._loads,
@@ -172,7 +172,7 @@
                 used, queued, False, False, now_s
             )
         self._table.update_reports(reports.get, frozenset())
-        self._loads.report("entry", self._rows(), self._seen, now_s)
+        self._loads.record_report("entry", self._rows(), self._seen, now_s)
         self._home.update()
 
     def _knows_end(self, engine: SimEngine, now_s: float) -> bool:
@@ -212,14 +212,16 @@
     ) -> Grant | Refusal:
         """Ask the home, as an entry does."""
         kind = class_named(arrival.kind)
-        reserved = need_of(_info_of(arrival), SERVICE).memory_tokens
-        read_s = arrival.prompt_tokens / READ_TOKENS_PER_S
-        reserve_s = RESERVE_SHARE * kind.target_latency_s
+        reserved = estimate_demand(_info_of(arrival), SERVICE).memory_tokens
+        read_s = arrival.prompt_tokens / PREFILL_TOKENS_PER_S
+        reserve_s = LATENCY_RESERVE_FRACTION * kind.target_latency_s
         answer = await self._home.handle(
             {
                 **self._message(arrival, reserved),
                 "patience_s": max(0.0, on_time_s - read_s - reserve_s),
-                "return_patience_s": min(RETURN_WAIT_S, RETURN_WAIT_SHARE * left_s),
+                "return_patience_s": min(
+                    REFUSED_MAX_WAIT_S, REFUSED_MAX_WAIT_FRACTION * left_s
+                ),
                 "holder": "",
             }
         )
@@ -256,9 +258,9 @@
 class _ReturnsFirst(FairQueue[Any]):
     """The previous order: who comes back, then who came first."""
 
-    def order_of(self, priority: int, flow: Flow, cost: float) -> Order:
+    def sort_key_of(self, priority: int, flow: Flow, cost: float) -> SortKey:
         """Return where a request would stand."""
-        return priority, 0.0 if flow.comes_back else 1.0, False
+        return priority, 0.0 if flow.was_refused else 1.0, False
 
 
 class Previous(HomePolicy):
@@ -292,7 +294,7 @@
     """Return what a request's head says to the product."""
     return RequestInfo(
         attempt_id=arrival.session,
-        deadline_s=None,
+        remaining_s=None,
         key="",
         prompt_tokens=arrival.prompt_tokens,
         maximum_output_tokens=0,
--- a/endivesill/fleet/departures.py
+++ b/endivesill/fleet/departures.py
@@ -19,7 +19,7 @@
 from endivesill.fleet.model import EngineInfo
 from endivesill.timer import TimerService
 
-__all__ = ["DepartureWatch", "HealthSource"]
+__all__ = ["DepartureDetector", "HealthSource"]
 
 # Period of the checks of one engine. Notices last 1.5 s and more, and each check
 # takes a slot of the engine for a moment.
@@ -41,7 +41,7 @@
         raise NotImplementedError
 
 
-class DepartureWatch:
+class DepartureDetector:
     """The engines that say that they take no work.
 
     A new engine may be taken away before its first check, so that a failed check
@@ -67,37 +67,39 @@
         self._source = source
         self._engines = engines
         self._changed = changed
-        self._proven: set[str] = set()
-        self._told: frozenset[str] = frozenset()
+        self._services_passed: set[str] = set()
+        self._reported: frozenset[str] = frozenset()
         # When the check of an engine began to fail.
-        self._failed_s: dict[str, float] = {}
-        self._doubted: set[str] = set()
-        self._silent: set[str] = set()
+        self._failing_since_s: dict[str, float] = {}
+        self._unconfirmed: set[str] = set()
+        self._unresponsive: set[str] = set()
 
     def leaving(self) -> frozenset[str]:
         """Return the incarnations that no longer take work."""
         since_s = self._timer.now_s() - CONFIRMED_AFTER_S
-        return frozenset(b for b, at_s in self._failed_s.items() if at_s > since_s)
+        return frozenset(
+            b for b, at_s in self._failing_since_s.items() if at_s > since_s
+        )
 
     async def run(self) -> None:
         """Check the engines until cancelled."""
         while True:
-            checks = map(self._check, filter(self._is_in_doubt, self._engines()))
+            checks = map(self._check, filter(self._needs_check, self._engines()))
             await asyncio.gather(*checks)
             self._forget_all_but({engine.incarnation for engine in self._engines()})
             leaving = self.leaving()
-            if leaving != self._told:
-                self._told = leaving
+            if leaving != self._reported:
+                self._reported = leaving
                 self._changed()
             await self._timer.sleep(CHECK_PERIOD_S)
 
     def _forget_all_but(self, incarnations: set[str]) -> None:
-        for gone in self._failed_s.keys() - incarnations:
-            del self._failed_s[gone]
-        self._silent &= incarnations
-        self._doubted &= incarnations
+        for gone in self._failing_since_s.keys() - incarnations:
+            del self._failing_since_s[gone]
+        self._unresponsive &= incarnations
+        self._unconfirmed &= incarnations
 
-    def _is_in_doubt(self, engine: EngineInfo) -> bool:
+    def _needs_check(self, engine: EngineInfo) -> bool:
         """Tell whether a check can tell more than the list does."""
         return not engine.is_draining or engine.incarnation in self.leaving()
 
@@ -105,23 +107,23 @@
         try:
             is_healthy = await self._source.is_healthy(engine)
         except errors.UnavailableError as error:
-            if engine.incarnation not in self._silent:
-                self._silent.add(engine.incarnation)
+            if engine.incarnation not in self._unresponsive:
+                self._unresponsive.add(engine.incarnation)
                 events.emit(HEALTH_UNKNOWN, target=engine.identity, reason=str(error))
             return
-        self._silent.discard(engine.incarnation)
+        self._unresponsive.discard(engine.incarnation)
         if is_healthy:
-            self._proven.add(engine.service)
-            self._failed_s.pop(engine.incarnation, None)
-            self._doubted.discard(engine.incarnation)
-        elif engine.service in self._proven:
-            self._note_failure(engine)
+            self._services_passed.add(engine.service)
+            self._failing_since_s.pop(engine.incarnation, None)
+            self._unconfirmed.discard(engine.incarnation)
+        elif engine.service in self._services_passed:
+            self._record_failure(engine)
 
-    def _note_failure(self, engine: EngineInfo) -> None:
+    def _record_failure(self, engine: EngineInfo) -> None:
         incarnation = engine.incarnation
-        if incarnation not in self._failed_s:
-            self._failed_s[incarnation] = self._timer.now_s()
+        if incarnation not in self._failing_since_s:
+            self._failing_since_s[incarnation] = self._timer.now_s()
             events.emit(ENGINE_UNHEALTHY, target=engine.identity)
-        elif incarnation not in self.leaving() | self._doubted:
-            self._doubted.add(incarnation)
+        elif incarnation not in self.leaving() | self._unconfirmed:
+            self._unconfirmed.add(incarnation)
             events.emit(HEALTH_DOUBTED, target=engine.identity)
--- a/endivesill/fleet/engine_list.py
+++ b/endivesill/fleet/engine_list.py
@@ -12,7 +12,12 @@
 from endivesill.peers import Message
 from endivesill.timer import TimerService
 
-__all__ = ["EngineList", "EngineListReader", "ListSource", "list_to_message"]
+__all__ = [
+    "EngineListSnapshot",
+    "EngineListReader",
+    "EngineListSource",
+    "list_to_message",
+]
 
 # Notices of engines that leave within two seconds must not wait long.
 READ_PERIOD_S = 0.25
@@ -21,7 +26,7 @@
 
 
 @attrs.frozen
-class EngineList:
+class EngineListSnapshot:
     """One reading of the list.
 
     Attributes:
@@ -42,15 +47,15 @@
         return [self.term, self.number]
 
 
-class ListSource:
+class EngineListSource:
     """Base of what reads the whole list of one platform.
 
     Attributes:
-      shortest_period_s: time from one reading to the next that the platform's
+      min_period_s: time from one reading to the next that the platform's
         bound on calls allows.
     """
 
-    shortest_period_s = 0.0
+    min_period_s = 0.0
 
     async def read(self) -> list[EngineInfo]:
         """Return all engines.
@@ -61,7 +66,7 @@
         raise NotImplementedError
 
 
-def list_to_message(reading: EngineList, now_s: float) -> Message:
+def list_to_message(reading: EngineListSnapshot, now_s: float) -> Message:
     """Return a reading as a JSON object; times of coldness as of now."""
     age_s = now_s - reading.read_s
     rows = []
@@ -83,29 +88,29 @@
       current: the last reading, or None before the first.
     """
 
-    def __init__(self, timer: TimerService, source: ListSource) -> None:
+    def __init__(self, timer: TimerService, source: EngineListSource) -> None:
         self._timer = timer
         self._source = source
         self._failures = 0
         self._leaving: Callable[[], frozenset[str]] = frozenset
-        self._noticed: Callable[[], frozenset[str]] = frozenset
+        self._with_notice: Callable[[], frozenset[str]] = frozenset
         self._listed: list[EngineInfo] = []
-        self.current: EngineList | None = None
+        self.current: EngineListSnapshot | None = None
 
-    def use_departures(
+    def use_departure_sources(
         self,
         leaving: Callable[[], frozenset[str]],
-        noticed: Callable[[], frozenset[str]],
+        with_notice: Callable[[], frozenset[str]],
     ) -> None:
         """Take what engines say of their end themselves.
 
         Args:
           leaving: returns the incarnations that no longer take work; the list
             shows them later.
-          noticed: returns the incarnations that know when they will end.
+          with_notice: returns the incarnations that know when they will end.
         """
         self._leaving = leaving
-        self._noticed = noticed
+        self._with_notice = with_notice
 
     async def read(self, term: int) -> bool:
         """Read the list once; return whether the engines in it have changed."""
@@ -120,31 +125,31 @@
             events.emit(LIST_REGAINED, failures=self._failures)
             self._failures = 0
         read_s = self._timer.now_s()
-        return self._take(self._merged(), term, read_s)
+        return self._apply(self._merged(), term, read_s)
 
-    def note_departures(self) -> bool:
+    def apply_departures(self) -> bool:
         """Merge the departures into the last reading; return whether it changed."""
         if self.current is None:
             return False
-        return self._take(self._merged(), self.current.term, self.current.read_s)
+        return self._apply(self._merged(), self.current.term, self.current.read_s)
 
     def _merged(self) -> dict[str, EngineInfo]:
         leaving = self._leaving()
-        noticed = self._noticed()
+        with_notice = self._with_notice()
         return {
             engine.incarnation: attrs.evolve(
                 engine,
                 is_draining=engine.is_draining or engine.incarnation in leaving,
-                has_notice=engine.incarnation in noticed,
+                has_notice=engine.incarnation in with_notice,
             )
             for engine in self._listed
         }
 
-    def _take(self, engines: dict[str, EngineInfo], term: int, read_s: float) -> bool:
+    def _apply(self, engines: dict[str, EngineInfo], term: int, read_s: float) -> bool:
         current = self.current
-        same = current is not None and current.term == term
-        number = current.number if current is not None and same else 0
-        changed = not same or _facts(current.engines) != _facts(engines)  # type: ignore[union-attr]
+        same_term = current is not None and current.term == term
+        number = current.number if current is not None and same_term else 0
+        changed = not same_term or _comparable(current.engines) != _comparable(engines)  # type: ignore[union-attr]
         if changed:
             number += 1
             events.emit(
@@ -153,17 +158,17 @@
                 ready=sum(not e.is_draining for e in engines.values()),
                 draining=[e.identity for e in engines.values() if e.is_draining],
             )
-        self.current = EngineList(term, number, read_s, engines)
+        self.current = EngineListSnapshot(term, number, read_s, engines)
         return changed
 
-    async def pause(self) -> None:
+    async def wait_until_due(self) -> None:
         """Wait until the next reading is due."""
         factor = min(2**self._failures, FAILED_PERIOD_LIMIT_S / READ_PERIOD_S)
-        period_s = max(READ_PERIOD_S * factor, self._source.shortest_period_s)
+        period_s = max(READ_PERIOD_S * factor, self._source.min_period_s)
         await self._timer.sleep(period_s)
 
 
-def _facts(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
+def _comparable(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
     """Return the engines without what changes by the passing of time alone."""
     return {
         incarnation: attrs.evolve(engine, cold_s=1.0 if engine.cold_s > 0 else 0.0)
--- a/endivesill/fleet/load.py
+++ b/endivesill/fleet/load.py
@@ -16,10 +16,10 @@
 ]
 
 # An entry that has told nothing for this long is taken to have no load.
-REPORT_LIFE_S = 2.0
+REPORT_TTL_S = 2.0
 # A place that was granted counts for this long until its entry reports it; an
 # answer and the next report take far less.
-GRANT_LIFE_S = 1.0
+GRANT_TTL_S = 1.0
 
 
 @attrs.frozen
@@ -29,12 +29,12 @@
     Attributes:
       requests: requests that were sent and have not ended.
       reserved_tokens: engine memory that they are expected to need.
-      unread_tokens: prompt tokens of those without a first event.
+      prefill_tokens: prompt tokens of those without a first event.
     """
 
     requests: int = 0
     reserved_tokens: int = 0
-    unread_tokens: int = 0
+    prefill_tokens: int = 0
 
 
 def add_loads(loads: Iterable[EngineLoad]) -> EngineLoad:
@@ -43,14 +43,14 @@
     for load in loads:
         requests += load.requests
         reserved += load.reserved_tokens
-        unread += load.unread_tokens
+        unread += load.prefill_tokens
     return EngineLoad(requests, reserved, unread)
 
 
 def loads_to_rows(loads: dict[str, EngineLoad]) -> dict[str, list[int]]:
     """Return loads as JSON: `[requests, reserved tokens, unread tokens]`."""
     return {
-        incarnation: [load.requests, load.reserved_tokens, load.unread_tokens]
+        incarnation: [load.requests, load.reserved_tokens, load.prefill_tokens]
         for incarnation, load in loads.items()
     }
 
@@ -67,17 +67,17 @@
     number: int
     incarnation: str
     load: EngineLoad
-    end_s: float
+    expires_s: float
 
 
 @attrs.define
 class _EntryLoads:
     """What is known of one entry."""
 
-    reported_s: float = float("-inf")
+    updated_s: float = float("-inf")
     loads: dict[str, EngineLoad] = attrs.Factory(dict)
     grants: list[_Grant] = attrs.Factory(list)
-    last_number: int = 0
+    last_grant: int = 0
 
 
 class FleetLoads:
@@ -86,7 +86,7 @@
     def __init__(self) -> None:
         self._entries: dict[str, _EntryLoads] = {}
 
-    def report(
+    def record_report(
         self, entry: str, rows: dict[str, list[int]], grants_seen: int, now_s: float
     ) -> None:
         """Take an entry's report.
@@ -97,39 +97,41 @@
           grants_seen: number of the last grant that the entry has received.
           now_s: the time.
         """
-        known = self._entries.setdefault(entry, _EntryLoads())
-        known.reported_s = now_s
-        known.loads = loads_from_rows(rows)
-        known.grants = [g for g in known.grants if g.number > grants_seen]
+        entry_loads = self._entries.setdefault(entry, _EntryLoads())
+        entry_loads.updated_s = now_s
+        entry_loads.loads = loads_from_rows(rows)
+        entry_loads.grants = [g for g in entry_loads.grants if g.number > grants_seen]
         # After a change of the leader the numbers go on from the entry's.
-        known.last_number = max(known.last_number, grants_seen)
+        entry_loads.last_grant = max(entry_loads.last_grant, grants_seen)
 
     def grant(self, entry: str, loads: dict[str, EngineLoad], now_s: float) -> int:
         """Count a place that is granted to an entry; return the grant's number."""
-        known = self._entries.setdefault(entry, _EntryLoads(now_s))
-        known.last_number += 1
-        end_s = now_s + GRANT_LIFE_S
+        entry_loads = self._entries.setdefault(entry, _EntryLoads(now_s))
+        entry_loads.last_grant += 1
+        expires_s = now_s + GRANT_TTL_S
         for incarnation, load in loads.items():
-            known.grants.append(_Grant(known.last_number, incarnation, load, end_s))
-        return known.last_number
+            entry_loads.grants.append(
+                _Grant(entry_loads.last_grant, incarnation, load, expires_s)
+            )
+        return entry_loads.last_grant
 
-    def sums(self, now_s: float, without: str = "") -> dict[str, EngineLoad]:
+    def totals(self, now_s: float, excluding: str = "") -> dict[str, EngineLoad]:
         """Return the load of all entries, but one if named, by incarnation."""
         by_incarnation: dict[str, list[EngineLoad]] = collections.defaultdict(list)
-        for entry, known in list(self._entries.items()):
-            if now_s - known.reported_s > REPORT_LIFE_S:
+        for entry, entry_loads in list(self._entries.items()):
+            if now_s - entry_loads.updated_s > REPORT_TTL_S:
                 del self._entries[entry]
-            elif entry != without:
-                for incarnation, load in known.loads.items():
+            elif entry != excluding:
+                for incarnation, load in entry_loads.loads.items():
                     by_incarnation[incarnation].append(load)
-                for grant in known.grants:
-                    if grant.end_s > now_s:
+                for grant in entry_loads.grants:
+                    if grant.expires_s > now_s:
                         by_incarnation[grant.incarnation].append(grant.load)
         return {
             incarnation: add_loads(loads)
             for incarnation, loads in by_incarnation.items()
         }
 
-    def forget(self, entry: str) -> None:
+    def remove(self, entry: str) -> None:
         """Drop an entry that stops."""
         self._entries.pop(entry, None)
--- a/endivesill/fleet/model.py
+++ b/endivesill/fleet/model.py
@@ -9,12 +9,12 @@
 __all__ = [
     "FleetConfiguration",
     "EngineInfo",
-    "EngineMemory",
+    "ModelEngineSpec",
     "Organisation",
     "RequestKind",
     "Route",
     "Service",
-    "ServiceShare",
+    "WeightedService",
 ]
 
 
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class ServiceShare:
+class WeightedService:
     """One service of a route and its weight among the others."""
 
     service: str
@@ -51,7 +51,7 @@
       timeout_s: longest time that a request may be under way.
       target_latency_s: time within which an answer is on time.
       priority: 0 is the most urgent.
-      shares: the services that share the requests.
+      weighted_services: the services that share the requests.
       max_attempts: how many targets one request may be sent to.
       is_public: whether requests need no key.
       gap_target_s: longest pause between two events that is on time.
@@ -64,14 +64,14 @@
     timeout_s: float
     target_latency_s: float
     priority: int
-    shares: tuple[ServiceShare, ...]
+    weighted_services: tuple[WeightedService, ...]
     max_attempts: int
     is_public: bool
     gap_target_s: float
 
 
 @attrs.frozen
-class EngineMemory:
+class ModelEngineSpec:
     """What the model engines of a service have.
 
     Attributes:
@@ -99,7 +99,7 @@
       max_connections: connections that one target accepts from all callers.
       cold_start_s: how long a target is cold after a start.
       cold_requests_per_s: what a cold target bears.
-      memory: what its model engines have; None for a plain service.
+      model_engine: what its model engines have; None for a plain service.
     """
 
     name: str
@@ -107,7 +107,7 @@
     max_connections: int
     cold_start_s: float
     cold_requests_per_s: float
-    memory: EngineMemory | None
+    model_engine: ModelEngineSpec | None
 
 
 @attrs.frozen
--- a/endivesill/fleet/reports.py
+++ b/endivesill/fleet/reports.py
@@ -18,7 +18,7 @@
 READ_PERIOD_S = 0.35
 REPORT_TIMEOUT_S = 0.5
 # A report older than this says nothing any more.
-REPORT_LIFE_S = 2.0
+REPORT_TTL_S = 2.0
 
 
 @attrs.frozen
@@ -71,24 +71,24 @@
         self._source = source
         self._engines = engines
         self._reports: dict[str, EngineReport] = {}
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
 
-    def of(self, incarnation: str) -> EngineReport | None:
+    def latest(self, incarnation: str) -> EngineReport | None:
         """Return the report of one start of an engine, unless it is old."""
         report = self._reports.get(incarnation)
-        if report is None or self._timer.now_s() - report.read_s > REPORT_LIFE_S:
+        if report is None or self._timer.now_s() - report.read_s > REPORT_TTL_S:
             return None
         return report
 
-    def silent(self) -> frozenset[str]:
+    def unresponsive(self) -> frozenset[str]:
         """Return the incarnations that did not answer the last question."""
-        return frozenset(self._silent)
+        return frozenset(self._unresponsive)
 
     def leaving(self) -> frozenset[str]:
         """Return the incarnations of the engines that say that they leave."""
         return frozenset(b for b, r in self._reports.items() if r.is_leaving)
 
-    def noticed(self) -> frozenset[str]:
+    def with_notice(self) -> frozenset[str]:
         """Return the incarnations of the engines that know when they will end."""
         return frozenset(b for b, r in self._reports.items() if r.has_notice)
 
@@ -101,18 +101,18 @@
             self._reports = {
                 b: r for b, r in self._reports.items() if b in incarnations
             }
-            self._silent &= incarnations
+            self._unresponsive &= incarnations
             await self._timer.sleep(READ_PERIOD_S)
 
     async def _read(self, engine: EngineInfo) -> None:
         try:
             report = await self._source.read(engine)
         except errors.UnavailableError as error:
-            if engine.incarnation not in self._silent:
-                self._silent.add(engine.incarnation)
+            if engine.incarnation not in self._unresponsive:
+                self._unresponsive.add(engine.incarnation)
                 events.emit(REPORTS_LOST, target=engine.identity, reason=str(error))
             return
-        if engine.incarnation in self._silent:
-            self._silent.discard(engine.incarnation)
+        if engine.incarnation in self._unresponsive:
+            self._unresponsive.discard(engine.incarnation)
             events.emit(REPORTS_REGAINED, target=engine.identity)
         self._reports[engine.incarnation] = report
--- a/endivesill/fleet/shares.py
+++ b/endivesill/fleet/shares.py
@@ -9,31 +9,31 @@
 
 import attrs
 
-__all__ = ["LOAN_LIFE_S", "Loan", "ShareLedger"]
+__all__ = ["LEASE_DURATION_S", "ShareLease", "ShareAllocator"]
 
 # Over two elections of the control VMs, so that a change of the leader does not
 # stop work that needs a share.
-LOAN_LIFE_S = 4.0
+LEASE_DURATION_S = 4.0
 
 
 @attrs.frozen
-class Loan:
+class ShareLease:
     """A share that an entry holds.
 
     Attributes:
       share: the part of each allowance, from 0 to 1.
-      end_s: when it ends, on the clock of whoever holds this object.
+      expires_s: when it ends, on the clock of whoever holds this object.
     """
 
     share: float
-    end_s: float
+    expires_s: float
 
     def share_at(self, now_s: float) -> float:
         """Return the share that may be used at a time."""
-        return self.share if now_s < self.end_s else 0.0
+        return self.share if now_s < self.expires_s else 0.0
 
 
-class ShareLedger:
+class ShareAllocator:
     """What a lender has lent.
 
     Args:
@@ -42,33 +42,37 @@
     """
 
     def __init__(self, now_s: float) -> None:
-        self._alone_from_s = now_s + LOAN_LIFE_S
-        self._loans: dict[str, Loan] = {}
+        self._previous_expired_s = now_s + LEASE_DURATION_S
+        self._leases: dict[str, ShareLease] = {}
 
-    def lend(self, entry: str, held: float, now_s: float) -> float:
+    def renew(self, entry: str, held_share: float, now_s: float) -> float:
         """Lend an entry its share and return it.
 
         Args:
           entry: names one start of an entry.
-          held: the share that it holds by an earlier loan.
+          held_share: the share that it holds by an earlier loan.
           now_s: the lender's time.
         """
-        self._loans = {e: loan for e, loan in self._loans.items() if loan.end_s > now_s}
+        self._leases = {
+            e: lease for e, lease in self._leases.items() if lease.expires_s > now_s
+        }
         others = sum(
-            loan.share for holder, loan in self._loans.items() if holder != entry
+            lease.share for holder, lease in self._leases.items() if holder != entry
         )
-        if now_s < self._alone_from_s:
-            share = held
+        if now_s < self._previous_expired_s:
+            share = held_share
         else:
-            count = len(self._loans.keys() | {entry})
+            count = len(self._leases.keys() | {entry})
             share = max(0.0, min(1.0 / count, 1.0 - others))
-        self._loans[entry] = Loan(share, now_s + LOAN_LIFE_S)
+        self._leases[entry] = ShareLease(share, now_s + LEASE_DURATION_S)
         return share
 
-    def give_back(self, entry: str) -> None:
+    def release(self, entry: str) -> None:
         """End the loan of an entry that stops."""
-        self._loans.pop(entry, None)
+        self._leases.pop(entry, None)
 
     def entries(self, now_s: float) -> list[str]:
         """Return the entries that hold a loan."""
-        return [entry for entry, loan in self._loans.items() if loan.end_s > now_s]
+        return [
+            entry for entry, lease in self._leases.items() if lease.expires_s > now_s
+        ]
--- a/endivesill/fleet/state.py
+++ b/endivesill/fleet/state.py
@@ -19,7 +19,7 @@
     "REPLACE",
     "SET_EVACUATION",
     "ReplaceOutcome",
-    "current_state",
+    "current_configuration",
     "document_digest",
     "evacuations",
 ]
@@ -28,7 +28,7 @@
 SET_EVACUATION = "evacuation.set"
 CURRENT = "fleet.current_configuration"
 
-STATE_SECTION = "fleet_configuration"
+CONFIGURATION_SECTION = "fleet_configuration"
 EVACUATION_SECTION = "evacuations"
 
 
@@ -48,7 +48,9 @@
 
 
 @command(REPLACE)
-def replace_state(state: State, message: Message, context: CommandContext) -> Message:
+def replace_configuration(
+    state: State, message: Message, context: CommandContext
+) -> Message:
     """Take a configuration if its version is the highest.
 
     Args:
@@ -59,12 +61,12 @@
     Returns:
       `{"outcome", "version"}`: a `ReplaceOutcome` and the version in force.
     """
-    section = state.section(STATE_SECTION)
-    held = section.get("version")
-    if held is None or message["version"] > held:
+    section = state.section(CONFIGURATION_SECTION)
+    current_version = section.get("version")
+    if current_version is None or message["version"] > current_version:
         section.update(message, index=context.index)
         outcome = ReplaceOutcome.IN_FORCE
-    elif message["version"] < held:
+    elif message["version"] < current_version:
         outcome = ReplaceOutcome.SUPERSEDED
     elif message["digest"] == section["digest"]:
         outcome = ReplaceOutcome.HELD_ALREADY
@@ -83,18 +85,18 @@
       context: where the command stands in the log.
     """
     section = state.section(EVACUATION_SECTION)
-    emptied = section.setdefault("data_centres", {})
+    evacuated = section.setdefault("data_centres", {})
     if message["evacuated"]:
-        emptied[message["data_centre"]] = context.index
+        evacuated[message["data_centre"]] = context.index
     else:
-        emptied.pop(message["data_centre"], None)
+        evacuated.pop(message["data_centre"], None)
     section["index"] = context.index
     return {}
 
 
-def current_state(state: State) -> Message | None:
+def current_configuration(state: State) -> Message | None:
     """Return `{"version", "digest", "document", "index"}`, or None without one."""
-    return state.section(STATE_SECTION) or None
+    return state.section(CONFIGURATION_SECTION) or None
 
 
 def evacuations(state: State) -> tuple[int, list[str]]:
@@ -106,4 +108,4 @@
 @query(CURRENT)
 def query_current(state: State, message: Message) -> Message:
     """Return the configuration in force; an empty object without one."""
-    return current_state(state) or {}
+    return current_configuration(state) or {}
--- a/endivesill/fleet/hub.py
+++ b/endivesill/fleet/sync_service.py
@@ -14,27 +14,27 @@
 from endivesill.control import Applied, ControlReplica
 from endivesill.fleet.engine_list import (
     EngineListReader,
-    ListSource,
+    EngineListSource,
     list_to_message,
 )
-from endivesill.fleet.follower import SYNC_PATH
 from endivesill.fleet.load import FleetLoads, loads_to_rows
 from endivesill.fleet.packing import pack_document
-from endivesill.fleet.shares import ShareLedger
-from endivesill.fleet.state import current_state, evacuations
+from endivesill.fleet.shares import ShareAllocator
+from endivesill.fleet.state import current_configuration, evacuations
+from endivesill.fleet.sync_client import SYNC_PATH
 from endivesill.peers import Message, PeerTransport
 from endivesill.signals import Signal
 from endivesill.timer import TimerService
 
-__all__ = ["FleetHub"]
+__all__ = ["FleetSyncService"]
 
 # Longest wait for news; also the age of the loads that entries tell each other.
-NEWS_WAIT_S = 0.2
+LONG_POLL_S = 0.2
 CONFIRM_TIMEOUT_S = 0.4
 NOT_LEADING_PAUSE_S = 0.2
 
 
-class FleetHub:
+class FleetSyncService:
     """Answers entries while this VM leads.
 
     Args:
@@ -53,17 +53,17 @@
         timer: TimerService,
         replica: ControlReplica,
         transport: PeerTransport,
-        source: ListSource,
+        source: EngineListSource,
     ) -> None:
         self._timer = timer
         self._replica = replica
-        self._news = Signal()
+        self._updated = Signal()
         self._packed_version: int | None = None
         self._packed_text = ""
         self._on_change: Callable[[], None] = lambda: None
         self.reader = EngineListReader(timer, source)
         self.loads = FleetLoads()
-        self._ledger: ShareLedger | None = None
+        self._allocator: ShareAllocator | None = None
         self._term = 0
         transport.handle(SYNC_PATH, self._handle_sync)
         replica.subscribe_applied(self._note_applied)
@@ -72,10 +72,10 @@
         """Call a listener after each report, list and change of the state."""
         self._on_change = listener
 
-    def note_departures(self) -> None:
+    def apply_departures(self) -> None:
         """Tell entries of engines that are about to leave."""
-        if self.reader.note_departures():
-            self._news.notify()
+        if self.reader.apply_departures():
+            self._updated.notify()
             self._on_change()
 
     def leads(self) -> bool:
@@ -83,7 +83,7 @@
         return self._replica.core.leadership is not None
 
     def _note_applied(self, applied: Applied) -> None:
-        self._news.notify()
+        self._updated.notify()
         self._on_change()
 
     async def run(self) -> None:
@@ -94,9 +94,9 @@
                 await self._timer.sleep(NOT_LEADING_PAUSE_S)
                 continue
             if await self.reader.read(term):
-                self._news.notify()
+                self._updated.notify()
                 self._on_change()
-            await self.reader.pause()
+            await self.reader.wait_until_due()
 
     async def _confirmed_term(self) -> int | None:
         """Return the term in which this VM leads for sure, or None."""
@@ -112,7 +112,7 @@
             return None
         if leadership.term != self._term:
             self._term = leadership.term
-            self._ledger = ShareLedger(self._timer.now_s())
+            self._allocator = ShareAllocator(self._timer.now_s())
         return leadership.term
 
     async def _handle_sync(self, message: Message) -> Message:
@@ -130,69 +130,71 @@
         """
         entry = message["entry"]
         if message.get("leaving"):
-            if self._ledger is not None:
-                self._ledger.give_back(entry)
-            self.loads.forget(entry)
+            if self._allocator is not None:
+                self._allocator.release(entry)
+            self.loads.remove(entry)
             return {}
-        self.loads.report(
+        self.loads.record_report(
             entry, message["loads"], message["grants_seen"], self._timer.now_s()
         )
         self._on_change()
-        if not self._has_news(message):
-            await self._wait_for_news(message)
+        if not self._has_updates(message):
+            await self._wait_for_updates(message)
         if await self._confirmed_term() is None:
             return {"leader": self._replica.core.leader_to_call()}
-        return self._answer(entry, message)
+        return self._build_reply(entry, message)
 
-    async def _wait_for_news(self, message: Message) -> None:
+    async def _wait_for_updates(self, message: Message) -> None:
         async def wait() -> None:
-            while not self._has_news(message):
-                await self._news.wait()
+            while not self._has_updates(message):
+                await self._updated.wait()
 
         try:
-            await self._timer.wait_for(wait(), NEWS_WAIT_S)
+            await self._timer.wait_for(wait(), LONG_POLL_S)
         except errors.DeadlineExceededError:
             return
 
-    def _has_news(self, message: Message) -> bool:
-        return bool(self._newer(message)) or self._replica.core.leadership is None
+    def _has_updates(self, message: Message) -> bool:
+        return bool(self._updates_for(message)) or self._replica.core.leadership is None
 
-    def _newer(self, message: Message) -> dict[str, Callable[[], Any]]:
+    def _updates_for(self, message: Message) -> dict[str, Callable[[], Any]]:
         """Return what the asker lacks, each with what builds it."""
-        news: dict[str, Callable[[], Any]] = {}
-        state = current_state(self._replica.state)
-        held = message["version"]
-        if state is not None and (held is None or state["version"] > held):
-            news["state"] = lambda: {
+        updates: dict[str, Callable[[], Any]] = {}
+        state = current_configuration(self._replica.state)
+        known_version = message["version"]
+        if state is not None and (
+            known_version is None or state["version"] > known_version
+        ):
+            updates["state"] = lambda: {
                 "version": state["version"],
-                "packed": self._packed(state),
+                "packed": self._packed_document(state),
             }
         index, data_centres = evacuations(self._replica.state)
         if index > message["evacuations"]:
-            news["evacuations"] = lambda: {
+            updates["evacuations"] = lambda: {
                 "index": index,
                 "data_centres": data_centres,
             }
-        reading = self.reader.current
-        if reading is not None and reading.stamp > message["list"]:
-            news["list"] = lambda: list_to_message(reading, self._timer.now_s())
-        return news
+        snapshot = self.reader.current
+        if snapshot is not None and snapshot.stamp > message["list"]:
+            updates["list"] = lambda: list_to_message(snapshot, self._timer.now_s())
+        return updates
 
-    def _packed(self, state: Message) -> str:
+    def _packed_document(self, state: Message) -> str:
         """Return the packed configuration; it is packed once for all entries."""
         if self._packed_version != state["version"]:
             self._packed_version = state["version"]
             self._packed_text = pack_document(state["document"])
         return self._packed_text
 
-    def _answer(self, entry: str, message: Message) -> Message:
+    def _build_reply(self, entry: str, message: Message) -> Message:
         now_s = self._timer.now_s()
-        assert self._ledger is not None
+        assert self._allocator is not None
         return {
-            **{name: build() for name, build in self._newer(message).items()},
-            "share": self._ledger.lend(entry, message["share"], now_s),
-            "entries": len(self._ledger.entries(now_s)),
-            "loads": loads_to_rows(self.loads.sums(now_s, without=entry)),
+            **{name: build() for name, build in self._updates_for(message).items()},
+            "share": self._allocator.renew(entry, message["share"], now_s),
+            "entries": len(self._allocator.entries(now_s)),
+            "loads": loads_to_rows(self.loads.totals(now_s, excluding=entry)),
             "controls": sorted(self._replica.core.voter_set.members.values()),
             "term": self._term,
         }
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -9,7 +9,7 @@
 from endivesill import errors, events
 from endivesill.forwarding.call import Call
 from endivesill.forwarding.events import ANSWER_SKIPPED
-from endivesill.forwarding.protocol import AnswerInfo, Dispatch, EngineProtocol
+from endivesill.forwarding.protocol import Dispatch, EngineProtocol, ResponseInfo
 from endivesill.forwarding.targets import Target, TargetTable
 from endivesill.http1 import (
     ConnectionPool,
@@ -24,10 +24,10 @@
 __all__ = ["Attempt", "AttemptError", "Failure", "Sender"]
 
 # Answers to other requests that are skipped on one connection.
-SKIPPED_ANSWERS_LIMIT = 2
+MAX_SKIPPED_RESPONSES = 2
 # An idle connection older than this may be half dead; a request that may not be
 # repeated would be lost with it.
-UNREPEATABLE_IDLE_S = 1.0
+NON_IDEMPOTENT_MAX_IDLE_S = 1.0
 
 
 class Failure(enum.Enum):
@@ -46,7 +46,7 @@
         return self not in (Failure.BROKEN, Failure.FOREIGN_ANSWER)
 
     @property
-    def arrived(self) -> bool:
+    def reached_target(self) -> bool:
         """Whether the target has seen the request."""
         return self not in (Failure.NO_CONNECTION, Failure.TARGET_LEFT)
 
@@ -75,7 +75,7 @@
     target: Target
     connection: UpstreamConnection
     head: ResponseHead
-    answer: AnswerInfo
+    response: ResponseInfo
 
 
 class Sender:
@@ -126,23 +126,25 @@
                 self._pool,
                 target.info.address,
                 lambda: self._encode(call, target, backup, resume_from, last_event_id),
-                longest_idle_s=None if call.is_idempotent else UNREPEATABLE_IDLE_S,
+                longest_idle_s=None
+                if call.is_idempotent
+                else NON_IDEMPOTENT_MAX_IDLE_S,
                 # The list may have changed while the connection was set up.
-                may_start=lambda: self._table.may_have_work(target),
+                may_start=lambda: self._table.accepts_requests(target),
                 started=call.note_sent,
-                belongs=lambda head: self._belongs(call, target, head),
-                foreign_limit=SKIPPED_ANSWERS_LIMIT,
+                belongs=lambda head: self._is_response_to(call, target, head),
+                foreign_limit=MAX_SKIPPED_RESPONSES,
                 no_body=call.exchange.method == "HEAD",
             )
         except SendError as error:
             raise AttemptError(FAILURES[error.failure], str(error)) from None
-        answer = self._protocol.decode_answer(head)
-        if answer.wrong_target or answer.not_run:
+        response = self._protocol.decode_response(head)
+        if response.wrong_target or response.not_run:
             self._pool.release(connection)
-            wrong = answer.wrong_target
-            failure = Failure.WRONG_TARGET if wrong else Failure.REJECTED
-            raise AttemptError(failure, str(answer.status))
-        return Attempt(target, connection, head, answer)
+            is_wrong_target = response.wrong_target
+            failure = Failure.WRONG_TARGET if is_wrong_target else Failure.REJECTED
+            raise AttemptError(failure, str(response.status))
+        return Attempt(target, connection, head, response)
 
     def _encode(
         self,
@@ -155,7 +157,7 @@
         """Return the request's bytes for a target."""
         dispatch = Dispatch(
             identity=target.info.identity,
-            left_s=max(0.0, call.caller_end_s - self._timer.now_s()),
+            remaining_s=max(0.0, call.caller_deadline_s - self._timer.now_s()),
             organisation=call.organisation,
             urgency=urgency(call),
             backup_address=backup.info.address if backup else "",
@@ -169,22 +171,22 @@
         )
         return head + exchange.body
 
-    def _belongs(self, call: Call, target: Target, head: ResponseHead) -> bool:
+    def _is_response_to(self, call: Call, target: Target, head: ResponseHead) -> bool:
         """Tell whether an answer is the call's; late ones to others may come first."""
-        answers = self._protocol.answered_attempt(head)
-        if answers in ("", call.info.attempt_id):
+        answered_id = self._protocol.response_attempt_id(head)
+        if answered_id in ("", call.info.attempt_id):
             return True
         events.emit(
             ANSWER_SKIPPED,
             request_id=call.info.attempt_id,
             target=target.info.identity,
-            answers=answers,
+            answers=answered_id,
         )
         return False
 
 
 def urgency(call: Call) -> int | None:
     """Return the urgency of a generation at its engine, 0 first and 9 last."""
-    if call.service.memory is None:
+    if call.service.model_engine is None:
         return None
     return min(9, 3 + 2 * call.priority)
--- a/endivesill/forwarding/call.py
+++ b/endivesill/forwarding/call.py
@@ -6,7 +6,7 @@
 
 from endivesill.fleet.model import Route, Service
 from endivesill.forwarding.protocol import RequestInfo
-from endivesill.forwarding.targets import Need, Target
+from endivesill.forwarding.targets import ResourceDemand, Target
 from endivesill.http1 import Exchange
 
 __all__ = ["Call"]
@@ -23,10 +23,10 @@
       service: the service that it goes to.
       organisation: who sent it; empty if requests need no key.
       priority: 0 is the most urgent.
-      need: what it takes at a target.
+      demand: what it takes at a target.
       received_s: when it was read.
-      end_s: when the caller or the route gives up on it.
-      caller_end_s: when the caller gives up on it.
+      deadline_s: when the caller or the route gives up on it.
+      caller_deadline_s: when the caller gives up on it.
       sends: how many targets it was sent to.
       runs: how many of them may have begun to work on it.
       excluded: targets that it is not sent to again.
@@ -40,10 +40,10 @@
     service: Service
     organisation: str
     priority: int
-    need: Need
+    demand: ResourceDemand
     received_s: float
-    end_s: float
-    caller_end_s: float
+    deadline_s: float
+    caller_deadline_s: float
     sends: int = 0
     runs: int = 0
     excluded: list[Target] = attrs.Factory(list)
@@ -61,6 +61,6 @@
         return self.route.kind.is_idempotent
 
     @property
-    def on_time_s(self) -> float:
+    def latency_deadline_s(self) -> float:
         """When an answer must have begun to be on time."""
         return self.received_s + self.route.target_latency_s
--- a/endivesill/forwarding/call_log.py
+++ b/endivesill/forwarding/call_log.py
@@ -8,12 +8,12 @@
 from endivesill import events
 from endivesill.forwarding.call import Call
 from endivesill.forwarding.events import (
-    ATTEMPT_ENDED,
+    ATTEMPT_FAILED,
     REQUEST_ENDED,
     REQUEST_PLACED,
     REQUEST_REFUSED,
 )
-from endivesill.forwarding.placer import Place
+from endivesill.forwarding.placer import Placement
 from endivesill.forwarding.protocol import RequestInfo
 from endivesill.forwarding.statistics import Statistics
 from endivesill.forwarding.targets import Target
@@ -28,7 +28,7 @@
     Args:
       timer: the timer service.
       statistics: counts outcomes.
-      knowledge_age_s: returns how old the configuration and the list may be;
+      view_age_s: returns how old the configuration and the list may be;
         infinite before there are any.
 
     Attributes:
@@ -40,15 +40,15 @@
         self,
         timer: TimerService,
         statistics: Statistics,
-        knowledge_age_s: Callable[[], float],
+        view_age_s: Callable[[], float],
     ) -> None:
         self._timer = timer
         self._statistics = statistics
-        self._knowledge_age_s = knowledge_age_s
+        self._view_age_s = view_age_s
         self.version: int | None = None
 
     def _age_s(self) -> float | None:
-        age_s = self._knowledge_age_s()
+        age_s = self._view_age_s()
         return None if math.isinf(age_s) else round(age_s, 3)
 
     def refused(
@@ -56,8 +56,8 @@
         info: RequestInfo,
         status: int,
         reason: str,
-        after_s: float | None,
-        waiting: int,
+        retry_after_s: float | None,
+        queue_length: int,
         call: Call | None = None,
     ) -> None:
         """Note a request that was answered without being run."""
@@ -67,15 +67,17 @@
             request_id=info.attempt_id,
             status=status,
             reason=reason,
-            retry_after_s=round(after_s, 3) if after_s is not None else None,
+            retry_after_s=round(retry_after_s, 3)
+            if retry_after_s is not None
+            else None,
             version=self.version,
             age_s=self._age_s(),
             route=call.route.name if call else None,
             waited_s=round(call.waited_s, 4) if call else 0.0,
-            waiting=waiting,
+            waiting=queue_length,
         )
 
-    def placed(self, call: Call, place: Place) -> None:
+    def placed(self, call: Call, place: Placement) -> None:
         """Note the target that was chosen, with what decided."""
         target = place.target
         self._statistics.placed(call.route.kind.value, call.waited_s)
@@ -91,16 +93,16 @@
             by_leader=place.by_leader,
             sends=call.sends,
             waited_s=round(call.waited_s, 4),
-            requests=target.all_requests,
-            reserved_tokens=target.all_reserved_tokens,
-            unread_tokens=target.all_unread_tokens,
+            requests=target.total_requests,
+            reserved_tokens=target.total_reserved_tokens,
+            unread_tokens=target.total_prefill_tokens,
         )
 
     def attempt_failed(self, call: Call, target: Target, reason: str) -> None:
         """Note a target that did not give a good answer."""
         self._statistics.attempt_failed(reason)
         events.emit(
-            ATTEMPT_ENDED,
+            ATTEMPT_FAILED,
             request_id=call.info.attempt_id,
             target=target.info.identity,
             reason=reason,
--- a/endivesill/forwarding/event_stream.py
+++ b/endivesill/forwarding/event_stream.py
@@ -14,11 +14,11 @@
     """One event.
 
     Attributes:
-      number: its id; None if it has none.
+      event_id: its id; None if it has none.
       data: all its bytes, with the empty line.
     """
 
-    number: int | None
+    event_id: int | None
     data: bytes
 
 
@@ -26,19 +26,19 @@
     """Takes bytes and gives whole events.
 
     Attributes:
-      rest: the bytes of an event that is not complete.
+      remainder: the bytes of an event that is not complete.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that are complete with these bytes."""
-        *whole, self.rest = (self.rest + data).split(END)
-        return [StreamEvent(_number(block), block + END) for block in whole]
+        *complete, self.remainder = (self.remainder + data).split(END)
+        return [StreamEvent(_event_id(block), block + END) for block in complete]
 
 
-def _number(block: bytes) -> int | None:
+def _event_id(block: bytes) -> int | None:
     for line in block.split(b"\n"):
         name, colon, value = line.partition(b":")
         if colon and name == b"id" and value.strip().isdigit():
--- a/endivesill/forwarding/events.py
+++ b/endivesill/forwarding/events.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     "ANSWER_SKIPPED",
-    "ATTEMPT_ENDED",
+    "ATTEMPT_FAILED",
     "FLEET_BUSY",
     "PLACE_REFUSED",
     "REQUEST_ENDED",
@@ -25,7 +25,7 @@
 REQUEST_REFUSED = events.define(
     2102, "request-refused", "A request was answered without being run."
 )
-ATTEMPT_ENDED = events.define(
+ATTEMPT_FAILED = events.define(
     2103, "attempt-failed", "A target did not give a good answer to a request."
 )
 REQUEST_ENDED = events.define(2104, "request-ended", "A request has its last byte.")
@@ -51,7 +51,7 @@
     4512, "target-readmitted", "An ejected target may have requests again."
 )
 
-FAILURES = {kind.number for kind in (REQUEST_REFUSED, ATTEMPT_ENDED, PLACE_REFUSED)}
+FAILURES = {kind.number for kind in (REQUEST_REFUSED, ATTEMPT_FAILED, PLACE_REFUSED)}
 
 
 def request_failed(kind: events.EventKind, fields: dict[str, Any]) -> bool | None:
--- a/endivesill/forwarding/fair_queue.py
+++ b/endivesill/forwarding/fair_queue.py
@@ -16,11 +16,11 @@
 
 import attrs
 
-__all__ = ["FairQueue", "Flow", "Order"]
+__all__ = ["FairQueue", "Flow", "SortKey"]
 
 T = TypeVar("T")
 # The priority, the tag, and whether the caller comes for the first time.
-Order = tuple[int, float, bool]
+SortKey = tuple[int, float, bool]
 
 
 @attrs.frozen
@@ -29,21 +29,21 @@
 
     Attributes:
       organisation: who sends them.
-      comes_back: whether their callers were refused before.
+      was_refused: whether their callers were refused before.
     """
 
     organisation: str
-    comes_back: bool
+    was_refused: bool
 
 
 @attrs.define(eq=False)
 class _Item(Generic[T]):
-    order: Order
-    number: int
+    sort_key: SortKey
+    sequence: int
     value: T
 
     def __lt__(self, other: Any) -> bool:
-        return (self.order, self.number) < (other.order, other.number)
+        return (self.sort_key, self.sequence) < (other.sort_key, other.sequence)
 
 
 class FairQueue(Generic[T]):
@@ -51,9 +51,9 @@
 
     def __init__(self) -> None:
         self._items: list[_Item[T]] = []
-        self._numbers = itertools.count()
-        self._clock = 0.0
-        self._tags: dict[Flow, float] = {}
+        self._sequences = itertools.count()
+        self._virtual_time = 0.0
+        self._finish_tags: dict[Flow, float] = {}
 
     def __len__(self) -> int:
         return len(self._items)
@@ -61,20 +61,20 @@
     def __bool__(self) -> bool:
         return bool(self._items)
 
-    def order_of(self, priority: int, flow: Flow, cost: float) -> Order:
+    def sort_key_of(self, priority: int, flow: Flow, cost: float) -> SortKey:
         """Return where a request would stand: its priority, its tag, its past."""
-        tag = max(self._clock, self._tags.get(flow, 0.0)) + cost
-        return priority, tag, not flow.comes_back
+        finish_tag = max(self._virtual_time, self._finish_tags.get(flow, 0.0)) + cost
+        return priority, finish_tag, not flow.was_refused
 
-    def ahead_of(self, order: Order) -> int:
+    def count_ahead(self, sort_key: SortKey) -> int:
         """Return how many go before a request with an order."""
-        return sum(item.order <= order for item in self._items)
+        return sum(item.sort_key <= sort_key for item in self._items)
 
     def push(self, priority: int, flow: Flow, cost: float, value: T) -> _Item[T]:
         """Add a request; return what `remove` takes."""
-        order = self.order_of(priority, flow, cost)
-        item = _Item(order, next(self._numbers), value)
-        self._tags[flow] = order[1]
+        sort_key = self.sort_key_of(priority, flow, cost)
+        item = _Item(sort_key, next(self._sequences), value)
+        self._finish_tags[flow] = sort_key[1]
         heapq.heappush(self._items, item)
         return item
 
@@ -84,19 +84,19 @@
             self._items.remove(item)
             heapq.heapify(self._items)
 
-    def first(self) -> T:
+    def peek(self) -> T:
         """Return the request that is next."""
         return self._items[0].value
 
     def pop(self) -> T:
         """Take the request that is next; it is served now."""
         item = heapq.heappop(self._items)
-        self.note_served(item.order[1])
+        self.note_served(item.sort_key[1])
         return item.value
 
-    def note_served(self, tag: float) -> None:
+    def note_served(self, finish_tag: float) -> None:
         """Move the clock on to the tag of a request that is served."""
-        self._clock = max(self._clock, tag)
+        self._virtual_time = max(self._virtual_time, finish_tag)
         if not self._items:
             # Nobody waits: past shares do not count against anybody.
-            self._tags.clear()
+            self._finish_tags.clear()
--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -15,16 +15,16 @@
 )
 from endivesill.forwarding.call import Call
 from endivesill.forwarding.call_log import CallLog
-from endivesill.forwarding.placement import need_of
-from endivesill.forwarding.placer import Place, Placer
+from endivesill.forwarding.placement import estimate_demand
+from endivesill.forwarding.placer import Placement, Placer
 from endivesill.forwarding.protocol import EngineProtocol, RequestInfo
-from endivesill.forwarding.refusals import spread_s, within_time_s
+from endivesill.forwarding.refusals import cap_retry_after_s, jittered_s
 from endivesill.forwarding.retry_budget import RetryBudget
 from endivesill.forwarding.route_table import RouteTable, pick_service
 from endivesill.forwarding.run_copy import RunCopier
 from endivesill.forwarding.streams import StreamBrokenError, StreamRelay
 from endivesill.forwarding.targets import Target, TargetTable
-from endivesill.forwarding.waiting import Admission, NoRoomError
+from endivesill.forwarding.waiting import AdmissionQueue, NoRoomError
 from endivesill.http1 import (
     ConnectionPool,
     Exchange,
@@ -36,15 +36,15 @@
 __all__ = ["Forwarder"]
 
 # Sendings of one request that targets rejected or that found no connection.
-REJECTIONS_LIMIT = 4
+MAX_REJECTIONS = 4
 # Share of the time left that one attempt of a repeatable request may take while
 # there is another target to try; answers the pattern of a target that hangs.
-ATTEMPT_TIME_SHARE = 0.4
+ATTEMPT_TIME_FRACTION = 0.4
 # Retry-After for a caller whose request found no room: engines give room back
 # as generations end, some each second.
 RETRY_AFTER_S = 1.0
 # Retry-After of an entry that does not know the routes yet.
-NO_STATE_RETRY_S = 0.5
+NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 
 
 class Forwarder:
@@ -70,7 +70,7 @@
         self,
         timer: TimerService,
         table: TargetTable,
-        admission: Admission,
+        admission: AdmissionQueue,
         placer: Placer,
         budget: RetryBudget,
         pool: ConnectionPool,
@@ -100,13 +100,15 @@
     @routes.setter
     def routes(self, routes: RouteTable | None) -> None:
         self._routes = routes
-        self._log.version = routes.state.version if routes else None
+        self._log.version = routes.configuration.version if routes else None
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
         info = self._protocol.decode_request(exchange.headers)
         if self.routes is None:
-            self._refuse(exchange, info, 503, "no configuration", NO_STATE_RETRY_S)
+            self._refuse(
+                exchange, info, 503, "no configuration", NO_CONFIGURATION_RETRY_AFTER_S
+            )
             return
         host = exchange.header(b"host").decode("latin-1").lower()
         path = exchange.target.partition(b"?")[0].decode("latin-1")
@@ -116,14 +118,14 @@
             return
         organisation = None
         if self.routes.needs_keys and not route.is_public:
-            organisation = self.routes.holder(info.key)
+            organisation = self.routes.organisation_of(info.key)
             if organisation is None:
                 self._refuse(exchange, info, 401, "unknown key", None)
                 return
         if self.refuse_streams and route.kind is RequestKind.STREAMING:
             self._refuse(exchange, info, 503, "stopping", 0.0)
             return
-        await self._serve_bounded(self._call(exchange, info, route, organisation))
+        await self._serve_with_deadline(self._call(exchange, info, route, organisation))
 
     def _call(
         self,
@@ -133,9 +135,11 @@
         organisation: Organisation | None,
     ) -> Call:
         assert self.routes is not None
-        service = self.routes.state.services[pick_service(route, self._random)]
+        service = self.routes.configuration.services[pick_service(route, self._random)]
         received_s = exchange.received_s
-        caller_s = info.deadline_s if info.deadline_s is not None else route.timeout_s
+        caller_remaining_s = (
+            info.remaining_s if info.remaining_s is not None else route.timeout_s
+        )
         priority = route.priority
         if organisation is not None and organisation.priority is not None:
             priority = organisation.priority
@@ -146,13 +150,13 @@
             service=service,
             organisation=organisation.name if organisation else "",
             priority=priority,
-            need=need_of(info, service),
+            demand=estimate_demand(info, service),
             received_s=received_s,
-            end_s=received_s + min(caller_s, route.timeout_s),
-            caller_end_s=received_s + caller_s,
+            deadline_s=received_s + min(caller_remaining_s, route.timeout_s),
+            caller_deadline_s=received_s + caller_remaining_s,
         )
 
-    async def _serve_bounded(self, call: Call) -> None:
+    async def _serve_with_deadline(self, call: Call) -> None:
         """Serve a request until its time is over or its caller has left."""
         exchange = call.exchange
         task = asyncio.current_task()
@@ -162,17 +166,17 @@
             exchange.abort()
             return
 
-        def leave() -> None:
+        def cancel_call() -> None:
             # A call that may not be repeated and has begun is left to finish.
             if call.route.kind is not RequestKind.UNSAFE or not call.may_have_run:
                 task.cancel()
 
-        exchange.on_gone = leave
+        exchange.on_gone = cancel_call
         try:
-            left_s = call.end_s - self._timer.now_s()
-            await self._timer.wait_for(self._serve(call), left_s)
+            remaining_s = call.deadline_s - self._timer.now_s()
+            await self._timer.wait_for(self._serve(call), remaining_s)
         except errors.DeadlineExceededError:
-            self._give_up(call, 504, "timeout")
+            self._finish_failed(call, 504, "timeout")
         except asyncio.CancelledError:
             self._log.ended(call, "caller-gone", "")
             raise
@@ -186,42 +190,42 @@
             try:
                 place = await self._placer.place(call)
             except NoRoomError as error:
-                self._give_up(call, 502, error.reason, error.retry_after_s)
+                self._finish_failed(call, 502, error.reason, error.retry_after_s)
                 return
             target = place.target
             self._log.placed(call, place)
             try:
                 if call.route.kind is RequestKind.STREAMING:
-                    await self._stream(call, place)
+                    await self._forward_stream(call, place)
                     return
-                if await self._plain(call, target):
+                if await self._forward_plain(call, target):
                     return
             except AttemptError as error:
-                self._note_failure(call, target, error)
+                self._record_failure(call, target, error)
                 rejections += 1
-                if not self._may_repeat(call, error, rejections):
-                    self._give_up(call, 502, str(error))
+                if not self._may_resend(call, error, rejections):
+                    self._finish_failed(call, 502, str(error))
                     return
             call.excluded.append(target)
 
     # Plain requests.
 
-    async def _plain(self, call: Call, target: Target) -> bool:
+    async def _forward_plain(self, call: Call, target: Target) -> bool:
         """Send a request once; return whether the caller has its answer."""
         try:
-            attempt, body = await self._whole_answer(call, target)
+            attempt, body = await self._read_response(call, target)
         finally:
-            target.give_back(call.need)
-        good = attempt.answer.status < 500
+            target.release(call.demand)
+        good = attempt.response.status < 500
         self._table.note_outcome(target, good=good)
         call.runs += 1
-        if not good and self._may_run_again(call):
-            self._log.attempt_failed(call, target, f"status {attempt.answer.status}")
+        if not good and self._may_rerun(call):
+            self._log.attempt_failed(call, target, f"status {attempt.response.status}")
             return False
-        self._pass_on(call, attempt, body)
+        self._forward_response(call, attempt, body)
         return True
 
-    async def _whole_answer(self, call: Call, target: Target) -> tuple[Attempt, bytes]:
+    async def _read_response(self, call: Call, target: Target) -> tuple[Attempt, bytes]:
         """Return a target's whole answer.
 
         Raises:
@@ -237,49 +241,51 @@
             finally:
                 self._pool.release(attempt.connection)
 
-        left_s = call.end_s - self._timer.now_s()
+        remaining_s = call.deadline_s - self._timer.now_s()
         if call.is_idempotent and call.runs + 1 < call.route.max_attempts:
-            left_s *= ATTEMPT_TIME_SHARE
+            remaining_s *= ATTEMPT_TIME_FRACTION
         overdue = self._timer.call_after(
             call.route.target_latency_s, lambda: self._table.note_overdue(target)
         )
         try:
-            return await self._timer.wait_for(exchange(), left_s)
+            return await self._timer.wait_for(exchange(), remaining_s)
         except errors.DeadlineExceededError:
             raise AttemptError(Failure.BROKEN, "no answer in time") from None
         finally:
             overdue.cancel()
 
-    def _may_run_again(self, call: Call) -> bool:
+    def _may_rerun(self, call: Call) -> bool:
         """Tell whether a request that has run may run once more, elsewhere."""
         return (
             call.is_idempotent
             and call.runs < call.route.max_attempts
-            and self._timer.now_s() < call.end_s
+            and self._timer.now_s() < call.deadline_s
             and len(self._table.candidates(call.service.name, call.excluded)) > 1
-            and self._budget.take(call.service.name)
+            and self._budget.try_acquire(call.service.name)
         )
 
-    def _may_repeat(self, call: Call, error: AttemptError, rejections: int) -> bool:
+    def _may_resend(self, call: Call, error: AttemptError, rejections: int) -> bool:
         """Tell whether a request without an answer may be sent once more."""
         failure = error.failure
         if failure.not_run:
             call.may_have_run = call.runs > 0
-            if rejections > REJECTIONS_LIMIT or self._timer.now_s() >= call.end_s:
+            if rejections > MAX_REJECTIONS or self._timer.now_s() >= call.deadline_s:
                 return False
-            return not failure.arrived or self._budget.take(call.service.name)
+            return not failure.reached_target or self._budget.try_acquire(
+                call.service.name
+            )
         call.runs += 1
-        return self._may_run_again(call)
+        return self._may_rerun(call)
 
-    def _pass_on(self, call: Call, attempt: Attempt, body: bytes) -> None:
-        status = attempt.answer.status
+    def _forward_response(self, call: Call, attempt: Attempt, body: bytes) -> None:
+        status = attempt.response.status
         headers = strip_hop_by_hop(attempt.head.headers)
         call.exchange.respond(status, headers, body)
         self._log.ended(call, "answered", "", status=status, size_bytes=len(body))
 
     # Streams.
 
-    async def _stream(self, call: Call, place: Place) -> None:
+    async def _forward_stream(self, call: Call, place: Placement) -> None:
         target = place.target
         relay = StreamRelay(
             self._timer,
@@ -294,7 +300,7 @@
             attempt = await relay.run(place)
         except StreamBrokenError as error:
             self._table.note_outcome(target, good=False)
-            self._give_up(call, 502, str(error), events=relay.events)
+            self._finish_failed(call, 502, str(error), events=relay.events)
             return
         if attempt is None:
             self._table.note_outcome(target, good=True)
@@ -312,16 +318,16 @@
         try:
             body = await attempt.connection.read_all()
         except UpstreamError as error:
-            self._give_up(call, 502, str(error))
+            self._finish_failed(call, 502, str(error))
             return
         finally:
             self._pool.release(attempt.connection)
-        self._table.note_outcome(target, good=attempt.answer.status < 500)
-        self._pass_on(call, attempt, body)
+        self._table.note_outcome(target, good=attempt.response.status < 500)
+        self._forward_response(call, attempt, body)
 
     # Ends.
 
-    def _note_failure(self, call: Call, target: Target, error: AttemptError) -> None:
+    def _record_failure(self, call: Call, target: Target, error: AttemptError) -> None:
         failure = error.failure
         if failure is Failure.NO_CONNECTION:
             self._table.note_no_connection(target, str(error))
@@ -333,12 +339,12 @@
             self._table.note_outcome(target, good=False)
         self._log.attempt_failed(call, target, str(error))
 
-    def _give_up(
+    def _finish_failed(
         self,
         call: Call,
         status: int,
         reason: str,
-        after_s: float | None = None,
+        retry_after_s: float | None = None,
         **fields: int,
     ) -> None:
         """Give a request its final answer: not run, unknown, or a broken stream."""
@@ -351,10 +357,12 @@
             exchange.respond(status, [])
             self._log.ended(call, "unknown", reason, status=status)
         else:
-            if after_s is None:
-                after_s = spread_s(RETRY_AFTER_S, self._random.random())
-            after_s = within_time_s(after_s, call.end_s - self._timer.now_s())
-            self._refuse(exchange, call.info, 503, reason, after_s, call)
+            if retry_after_s is None:
+                retry_after_s = jittered_s(RETRY_AFTER_S, self._random.random())
+            retry_after_s = cap_retry_after_s(
+                retry_after_s, call.deadline_s - self._timer.now_s()
+            )
+            self._refuse(exchange, call.info, 503, reason, retry_after_s, call)
 
     def _refuse(
         self,
@@ -362,9 +370,9 @@
         info: RequestInfo,
         status: int,
         reason: str,
-        after_s: float | None,
+        retry_after_s: float | None,
         call: Call | None = None,
     ) -> None:
-        exchange.respond(status, self._protocol.refusal_headers(after_s))
-        waiting = self._admission.waiting()
-        self._log.refused(info, status, reason, after_s, waiting, call)
+        exchange.respond(status, self._protocol.refusal_headers(retry_after_s))
+        queue_length = self._admission.queue_length()
+        self._log.refused(info, status, reason, retry_after_s, queue_length, call)
--- a/endivesill/forwarding/health.py
+++ b/endivesill/forwarding/health.py
@@ -7,33 +7,33 @@
 __all__ = ["HealthRecord"]
 
 # Weight of the newest answer in the moving failure share.
-NEWEST_WEIGHT = 0.1
+EWMA_WEIGHT = 0.1
 # Answers before a failure share says anything.
-LEAST_ANSWERS = 5
+MIN_RESPONSES = 5
 # A target is an outlier if it fails this much more often than its peers' mean;
 # some requests fail by themselves wherever they run.
-EXCESS_SHARE = 0.25
+MAX_EXCESS_FAILURE_RATE = 0.25
 # Answers that are overdue in a row before a target rests; one may be slow work.
-OVERDUE_LIMIT = 2
+MAX_OVERDUE = 2
 # Rest after the first finding; it doubles with each further one in a row.
-REST_S = 2.0
-REST_LIMIT_S = 16.0
+BASE_EJECTION_S = 2.0
+MAX_EJECTION_S = 16.0
 
 
 class HealthRecord:
     """The moving failure share of one target.
 
     Attributes:
-      failure_share: from 0 to 1.
-      answers: how many answers were seen, up to `LEAST_ANSWERS`.
+      failure_rate: from 0 to 1.
+      responses: how many answers were seen, up to `MIN_RESPONSES`.
       overdue: requests without an answer in good time since the last answer.
     """
 
     def __init__(self) -> None:
-        self.failure_share = 0.0
-        self.answers = 0
+        self.failure_rate = 0.0
+        self.responses = 0
         self.overdue = 0
-        self._findings = 0
+        self._ejections = 0
         self._on_probation = False
 
     def note_overdue(self) -> float:
@@ -43,41 +43,41 @@
         its failures show only when the requests' time is over.
         """
         self.overdue += 1
-        return self._next_rest_s() if self.overdue >= OVERDUE_LIMIT else 0.0
+        return self._next_ejection_s() if self.overdue >= MAX_OVERDUE else 0.0
 
-    def note(self, *, good: bool) -> None:
+    def record_response(self, *, good: bool) -> None:
         """Count one answer."""
         self.overdue = 0
-        self.answers = min(LEAST_ANSWERS, self.answers + 1)
+        self.responses = min(MIN_RESPONSES, self.responses + 1)
         sample = 0.0 if good else 1.0
-        self.failure_share += NEWEST_WEIGHT * (sample - self.failure_share)
+        self.failure_rate += EWMA_WEIGHT * (sample - self.failure_rate)
 
-    def rest_s(self, peers: Sequence[HealthRecord]) -> float:
+    def ejection_s(self, peers: Sequence[HealthRecord]) -> float:
         """Return how long the target should rest; 0 if it is no outlier.
 
         Answers the pattern of a target that fails part of its requests while
         its health check is good.
         """
-        if self.answers < LEAST_ANSWERS:
+        if self.responses < MIN_RESPONSES:
             return 0.0
-        seen = [p.failure_share for p in peers if p.answers >= LEAST_ANSWERS]
-        usual = min(seen, default=0.0)
-        if self.failure_share - usual < EXCESS_SHARE:
+        seen = [p.failure_rate for p in peers if p.responses >= MIN_RESPONSES]
+        baseline = min(seen, default=0.0)
+        if self.failure_rate - baseline < MAX_EXCESS_FAILURE_RATE:
             return 0.0
-        self.failure_share = usual
-        return self._next_rest_s()
+        self.failure_rate = baseline
+        return self._next_ejection_s()
 
-    def _next_rest_s(self) -> float:
-        rest_s = min(REST_LIMIT_S, REST_S * 2**self._findings)
-        self._findings += 1
-        self.answers = 0
+    def _next_ejection_s(self) -> float:
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self._ejections)
+        self._ejections += 1
+        self.responses = 0
         self._on_probation = True
-        return rest_s
+        return ejection_s
 
-    def readmitted(self) -> bool:
+    def check_readmission(self) -> bool:
         """Tell once that a target on probation has answered well again."""
-        if not self._on_probation or self.answers < LEAST_ANSWERS:
+        if not self._on_probation or self.responses < MIN_RESPONSES:
             return False
         self._on_probation = False
-        self._findings = 0
+        self._ejections = 0
         return True
--- a/endivesill/forwarding/protocol.py
+++ b/endivesill/forwarding/protocol.py
@@ -11,7 +11,7 @@
 
 from endivesill.http1 import Headers, ResponseHead
 
-__all__ = ["AnswerInfo", "Dispatch", "EngineProtocol", "RequestInfo"]
+__all__ = ["ResponseInfo", "Dispatch", "EngineProtocol", "RequestInfo"]
 
 
 @attrs.frozen
@@ -20,7 +20,7 @@
 
     Attributes:
       attempt_id: names this attempt of the caller.
-      deadline_s: how long the caller still waits; None if it does not say.
+      remaining_s: how long the caller still waits; None if it does not say.
       key: its API key; empty if there is not exactly one.
       prompt_tokens: length of the prompt; 0 for no generation.
       maximum_output_tokens: longest output that it accepts.
@@ -29,7 +29,7 @@
     """
 
     attempt_id: str
-    deadline_s: float | None
+    remaining_s: float | None
     key: str
     prompt_tokens: int
     maximum_output_tokens: int
@@ -48,7 +48,7 @@
 
     Attributes:
       identity: the engine that must run it.
-      left_s: how long the caller still waits.
+      remaining_s: how long the caller still waits.
       organisation: who sent it; empty if requests need no key.
       urgency: 0 to 9, 0 first; None for the engine's usual one.
       backup_address: engine that gets a copy of the run's memory; or empty.
@@ -58,7 +58,7 @@
     """
 
     identity: str
-    left_s: float
+    remaining_s: float
     organisation: str = ""
     urgency: int | None = None
     backup_address: str = ""
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class AnswerInfo:
+class ResponseInfo:
     """An engine's answer, as far as routing needs it.
 
     Attributes:
@@ -93,10 +93,10 @@
     ) -> bytes:
         """Return the head of the request to an engine."""
 
-    def answered_attempt(self, head: ResponseHead) -> str:
+    def response_attempt_id(self, head: ResponseHead) -> str:
         """Return the attempt that an answer is to; empty if it does not say."""
 
-    def decode_answer(self, head: ResponseHead) -> AnswerInfo:
+    def decode_response(self, head: ResponseHead) -> ResponseInfo:
         """Return what routing needs of an engine's answer."""
 
     def encode_copy_order(
--- a/endivesill/forwarding/retry_budget.py
+++ b/endivesill/forwarding/retry_budget.py
@@ -10,7 +10,7 @@
 __all__ = ["RetryBudget"]
 
 # Kept back from the bound: windows of different entries do not begin together.
-SAFETY_SHARE = 0.8
+BUDGET_SAFETY_FRACTION = 0.8
 
 
 class RetryBudget:
@@ -38,27 +38,27 @@
         self._window_s = window_s
         self._share = share
         self._requests: dict[str, collections.deque[float]] = {}
-        self._repeats: dict[str, collections.deque[float]] = {}
+        self._retries: dict[str, collections.deque[float]] = {}
 
     def note_request(self, service: str) -> None:
         """Count the first sending of a request."""
-        self._entries(self._requests, service).append(self._timer.now_s())
+        self._recent(self._requests, service).append(self._timer.now_s())
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Take one repeat; False if the budget is used up."""
-        repeats = self._entries(self._repeats, service)
-        requests = len(self._entries(self._requests, service))
+        retries = self._recent(self._retries, service)
+        requests = len(self._recent(self._requests, service))
         allowed = self._ratio * requests + self._share() * self._slack
-        if len(repeats) + 1 > SAFETY_SHARE * allowed:
+        if len(retries) + 1 > BUDGET_SAFETY_FRACTION * allowed:
             return False
-        repeats.append(self._timer.now_s())
+        retries.append(self._timer.now_s())
         return True
 
-    def _entries(
+    def _recent(
         self, table: dict[str, collections.deque[float]], service: str
     ) -> collections.deque[float]:
         times_s = table.setdefault(service, collections.deque())
-        oldest_s = self._timer.now_s() - self._window_s
-        while times_s and times_s[0] < oldest_s:
+        window_start_s = self._timer.now_s() - self._window_s
+        while times_s and times_s[0] < window_start_s:
             times_s.popleft()
         return times_s
--- a/endivesill/forwarding/route_table.py
+++ b/endivesill/forwarding/route_table.py
@@ -13,24 +13,24 @@
     """One configuration, prepared for look-ups.
 
     Args:
-      state: the configuration.
+      configuration: the configuration.
     """
 
-    def __init__(self, state: FleetConfiguration) -> None:
-        self.state = state
+    def __init__(self, configuration: FleetConfiguration) -> None:
+        self.configuration = configuration
         self._hosts: dict[str, dict[str, Route]] = {}
-        for route in state.routes:
+        for route in configuration.routes:
             self._hosts.setdefault(route.host, {})[route.path_prefix] = route
-        self._holders = {
+        self._organisation_by_key = {
             key: organisation
-            for organisation in state.organisations
+            for organisation in configuration.organisations
             for key in organisation.keys
         }
 
     @property
     def needs_keys(self) -> bool:
         """Whether requests of routes that are not public need a key."""
-        return bool(self.state.organisations)
+        return bool(self.configuration.organisations)
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of the longest prefix that begins the path."""
@@ -44,14 +44,14 @@
                 return route
         return None
 
-    def holder(self, key: str) -> Organisation | None:
+    def organisation_of(self, key: str) -> Organisation | None:
         """Return the organisation that holds a key."""
-        return self._holders.get(key)
+        return self._organisation_by_key.get(key)
 
 
 def pick_service(route: Route, random_source: random.Random) -> str:
     """Return one of a route's services, by weight."""
-    if len(route.shares) == 1:
-        return route.shares[0].service
-    weights = [share.weight for share in route.shares]
-    return random_source.choices(route.shares, weights)[0].service
+    if len(route.weighted_services) == 1:
+        return route.weighted_services[0].service
+    weights = [weighted.weight for weighted in route.weighted_services]
+    return random_source.choices(route.weighted_services, weights)[0].service
--- a/endivesill/forwarding/run_copy.py
+++ b/endivesill/forwarding/run_copy.py
@@ -17,7 +17,7 @@
 from endivesill.http1 import ConnectionPool, UpstreamError
 from endivesill.timer import TimerService
 
-__all__ = ["CopyRefusedError", "RunCopy", "RunCopier"]
+__all__ = ["CopyFailedError", "RunCopy", "RunCopier"]
 
 # A run of some thousand tokens takes a fifth of a second on a free link; runs
 # of one engine are copied one after the other.
@@ -25,10 +25,10 @@
 # Period in which a copy takes up what the run has made since; well within the
 # time for which an engine keeps a copy that nobody asks for.
 REFRESH_S = 1.5
-FREE_TIMEOUT_S = 1.0
+RELEASE_TIMEOUT_S = 1.0
 
 
-class CopyRefusedError(errors.EndivesillError):
+class CopyFailedError(errors.EndivesillError):
     """An engine that did not copy a run."""
 
 
@@ -57,20 +57,20 @@
           destination: who gets the copy.
 
         Raises:
-          CopyRefusedError: there is no copy.
+          CopyFailedError: there is no copy.
         """
         order = self._protocol.encode_copy_order(
             source.info.address, call.info.attempt_id, destination.info.address
         )
         status, body = await self._exchange(source, order, COPY_TIMEOUT_S)
         if status != 200:
-            raise CopyRefusedError(f"status {status}")
+            raise CopyFailedError(f"status {status}")
         return self._protocol.decode_copy_name(body)
 
-    async def free(self, source: Target, name: str) -> None:
+    async def release(self, source: Target, name: str) -> None:
         """Free a copy that is not needed any more."""
         order = self._protocol.encode_copy_release(source.info.address, name)
-        await self._exchange(source, order, FREE_TIMEOUT_S)
+        await self._exchange(source, order, RELEASE_TIMEOUT_S)
 
     async def _exchange(
         self, source: Target, order: bytes, timeout_s: float
@@ -80,7 +80,7 @@
                 self._pool.exchange(source.info.address, order), timeout_s
             )
         except (UpstreamError, errors.DeadlineExceededError) as error:
-            raise CopyRefusedError(str(error)) from None
+            raise CopyFailedError(str(error)) from None
         return head.status, body
 
 
@@ -92,7 +92,7 @@
       call: the request that runs.
       source: where it runs.
       destination: who gets the copy; a place is taken there.
-      copied: called after each copy.
+      on_copied: called after each copy.
 
     Attributes:
       destination: who has the copy.
@@ -106,15 +106,15 @@
         call: Call,
         source: Target,
         destination: Target,
-        copied: Callable[[], None],
+        on_copied: Callable[[], None],
     ) -> None:
-        self._copied = copied
+        self._on_copied = on_copied
         self._copier = copier
         self._call = call
         self._source = source
         self._task: asyncio.Task[None] | None = None
         self._handle = ""
-        self._used = False
+        self._claimed = False
         self.destination = destination
         self.has_failed = False
 
@@ -129,19 +129,19 @@
         """Make the copy in the background."""
         self._task = asyncio.ensure_future(self._run())
 
-    def use(self) -> str:
+    def claim(self) -> str:
         """Return the copy's name for the engine that goes on from it."""
-        self._used = True
+        self._claimed = True
         return self.name
 
     def close(self) -> None:
         """End the copy; one that is not used is freed."""
         if self._task is not None:
             self._task.cancel()
-            self.destination.give_back_copy(self._call.need)
+            self.destination.release_copy(self._call.demand)
             self._task = None
-        if self._handle and not self._used:
-            asyncio.ensure_future(self._free())
+        if self._handle and not self._claimed:
+            asyncio.ensure_future(self._release())
 
     async def _run(self) -> None:
         await self._copy()
@@ -155,7 +155,7 @@
                 self._call, self._source, self.destination
             )
             outcome = "copied"
-        except CopyRefusedError as error:
+        except CopyFailedError as error:
             self.has_failed = True
             outcome = str(error)
         events.emit(
@@ -165,12 +165,12 @@
             destination=self.destination.info.identity,
             outcome=outcome,
         )
-        self._copied()
+        self._on_copied()
 
-    async def _free(self) -> None:
+    async def _release(self) -> None:
         try:
-            await self._copier.free(self._source, self._handle)
-        except CopyRefusedError as error:
+            await self._copier.release(self._source, self._handle)
+        except CopyFailedError as error:
             # The engines free it themselves some seconds later.
             events.emit(
                 RUN_COPIED,
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -10,8 +10,8 @@
 from endivesill.forwarding.attempt import Attempt, AttemptError, Sender
 from endivesill.forwarding.call import Call
 from endivesill.forwarding.event_stream import EventSplitter, StreamEvent
-from endivesill.forwarding.events import ATTEMPT_ENDED, STREAM_RESUMED
-from endivesill.forwarding.placer import Place, Placer
+from endivesill.forwarding.events import ATTEMPT_FAILED, STREAM_RESUMED
+from endivesill.forwarding.placer import Placement, Placer
 from endivesill.forwarding.run_copy import RunCopier, RunCopy
 from endivesill.forwarding.targets import Target, TargetTable
 from endivesill.http1 import ConnectionPool, UpstreamError, strip_hop_by_hop
@@ -20,14 +20,14 @@
 __all__ = ["StreamBrokenError", "StreamRelay"]
 
 # Copies of a run that are tried one after the other.
-RESUMES_LIMIT = 6
+MAX_RESUMES = 6
 # How long after an engine has begun to drain its report tells whether it has been
 # given notice: reports are up to 0.7 s old when they are read every 0.35 s.
 NOTICE_LAG_S = 1.2
 # A generation makes an event every few hundredths of a second. One that has
 # been silent for this long stands at an engine that is dark, and goes on
 # elsewhere if there is a copy; a preempted one is back before.
-SILENCE_S = 1.5
+STALL_TIMEOUT_S = 1.5
 
 
 class StreamBrokenError(errors.EndivesillError):
@@ -42,7 +42,7 @@
       target: the engine.
       backup: who gets a copy of its memory as it grows.
       attempt: the answer, once it has begun.
-      read: whether the prompt was counted as read.
+      prefill_done: whether the prompt was counted as read.
       copy: a copy that was ordered because the backup cannot be used.
       is_moving: whether it was ended to go on from its copy.
     """
@@ -50,7 +50,7 @@
     target: Target
     backup: Target | None
     attempt: Attempt | None = None
-    read: bool = False
+    prefill_done: bool = False
     copy: RunCopy | None = None
     is_moving: bool = False
 
@@ -90,17 +90,17 @@
         self._table = table
         self._placer = placer
         self._copier = copier
-        self._ordering: asyncio.Task[None] | None = None
+        self._copy_task: asyncio.Task[None] | None = None
         self._call = call
         self._run: _Run | None = None
-        self._last_number: int | None = None
+        self._last_event_id: int | None = None
         self.events = 0
         self.first_event_s = 0.0
         self.longest_gap_s = 0.0
         self.resumes = 0
         self._last_event_s = 0.0
 
-    async def run(self, place: Place) -> Attempt | None:
+    async def run(self, place: Placement) -> Attempt | None:
         """Run the request at a place that is taken for it.
 
         Returns:
@@ -112,32 +112,32 @@
           StreamBrokenError: events were passed on and no more can be had.
         """
         run = self._run = _Run(place.target, place.backup)
-        self._table.watchers.add(self._review)
+        self._table.watchers.add(self._check_run)
         try:
-            return await self._run_on(run)
+            return await self._relay_runs(run)
         finally:
             self._run = None
-            self._table.watchers.discard(self._review)
+            self._table.watchers.discard(self._check_run)
 
-    async def _run_on(self, run: _Run) -> Attempt | None:
+    async def _relay_runs(self, run: _Run) -> Attempt | None:
         """Run at one engine after the other."""
         resume_from = ""
         while True:
             try:
                 attempt = await self._send(run, resume_from)
-                if attempt.answer.status != 200:
-                    return self._not_a_stream(attempt)
+                if attempt.response.status != 200:
+                    return self._non_stream_response(attempt)
                 await self._relay(run, attempt)
                 return None
             except (AttemptError, UpstreamError) as error:
-                following = self._next(run, error, resumed=bool(resume_from))
+                next_run = self._next_run(run, error, was_resumed=bool(resume_from))
             finally:
-                self._end(run)
-            run, resume_from = following
+                self._release_run(run)
+            run, resume_from = next_run
             self._run = run
 
     async def _send(self, run: _Run, resume_from: str) -> Attempt:
-        last_event_id = str(self._last_number or 0) if resume_from else ""
+        last_event_id = str(self._last_event_id or 0) if resume_from else ""
         run.attempt = await self._sender.send(
             self._call,
             run.target,
@@ -147,30 +147,30 @@
         )
         return run.attempt
 
-    def _not_a_stream(self, attempt: Attempt) -> Attempt:
+    def _non_stream_response(self, attempt: Attempt) -> Attempt:
         """Return an attempt whose answer is to be passed on as a whole."""
         if self._call.exchange.answered:
             self._pool.release(attempt.connection)
-            raise StreamBrokenError(f"status {attempt.answer.status} on a resume")
+            raise StreamBrokenError(f"status {attempt.response.status} on a resume")
         return attempt
 
-    def _end(self, run: _Run) -> None:
-        need = self._call.need
-        run.target.give_back(need, read=run.read)
+    def _release_run(self, run: _Run) -> None:
+        demand = self._call.demand
+        run.target.release(demand, prefill_done=run.prefill_done)
         if run.copy is not None:
             run.copy.close()
         if run.backup is not None:
-            run.backup.give_back_copy(need)
-        if run.attempt is not None and run.attempt.answer.status == 200:
+            run.backup.release_copy(demand)
+        if run.attempt is not None and run.attempt.response.status == 200:
             self._pool.release(run.attempt.connection)
 
-    def _next(
-        self, run: _Run, error: errors.EndivesillError, *, resumed: bool
+    def _next_run(
+        self, run: _Run, error: errors.EndivesillError, *, was_resumed: bool
     ) -> tuple[_Run, str]:
         """Return the next run and the copy that it goes on from."""
         call = self._call
         events.emit(
-            ATTEMPT_ENDED,
+            ATTEMPT_FAILED,
             request_id=call.info.attempt_id,
             target=run.target.info.identity,
             reason="moved" if run.is_moving else str(error),
@@ -179,44 +179,44 @@
             copy=run.copy.name if run.copy else None,
         )
         not_run = isinstance(error, AttemptError) and error.failure.not_run
-        if not_run and not resumed:
+        if not_run and not was_resumed:
             raise error
-        target, copy = self._copy_of(run)
-        if target is None or not_run or self.resumes >= RESUMES_LIMIT:
+        target, copy = self._find_copy(run)
+        if target is None or not_run or self.resumes >= MAX_RESUMES:
             raise StreamBrokenError(str(error)) from None
         self.resumes += 1
         events.emit(
             STREAM_RESUMED,
             request_id=call.info.attempt_id,
             target=target.info.identity,
-            after_event=self._last_number,
+            after_event=self._last_event_id,
         )
-        target.take(call.need)
-        return _Run(target, self._placer.backup_for(call, target)), copy
+        target.reserve(call.demand)
+        return _Run(target, self._placer.reserve_backup(call, target)), copy
 
-    def _copy_of(self, run: _Run) -> tuple[Target | None, str]:
+    def _find_copy(self, run: _Run) -> tuple[Target | None, str]:
         """Return who has a copy of a run that has ended, and its name."""
-        if run.backup is not None and self._table.may_have_work(run.backup):
+        if run.backup is not None and self._table.accepts_requests(run.backup):
             address = run.backup.info.address
             return run.backup, f"{address}/{self._call.info.attempt_id}"
         copy = run.copy
         if copy is None or not copy.name:
             return None, ""
-        if not self._table.may_have_work(copy.destination):
+        if not self._table.accepts_requests(copy.destination):
             return None, ""
-        return copy.destination, copy.use()
+        return copy.destination, copy.claim()
 
-    def _review(self) -> None:
+    def _check_run(self) -> None:
         """Look after the run when targets have changed, and from time to time."""
         run = self._run
         if run is None or run.attempt is None or not self.events:
             return
-        backed_up = run.backup is not None and self._table.may_have_work(run.backup)
-        copied = run.copy is not None and self._table.may_have_work(
+        backed_up = run.backup is not None and self._table.accepts_requests(run.backup)
+        copied = run.copy is not None and self._table.accepts_requests(
             run.copy.destination
         )
-        silent_s = self._timer.now_s() - self._last_event_s
-        if silent_s > SILENCE_S and (backed_up or copied):
+        idle_s = self._timer.now_s() - self._last_event_s
+        if idle_s > STALL_TIMEOUT_S and (backed_up or copied):
             run.attempt.connection.abort()
         elif run.copy is not None and (
             run.copy.has_failed or not copied or not self._may_end_soon(run.target)
@@ -226,7 +226,7 @@
         if backed_up:
             return
         if run.copy is None:
-            self._order_copy(run)
+            self._start_copy(run)
         elif run.copy.name and run.target.info.has_notice:
             self._move(run)
 
@@ -241,7 +241,7 @@
         run.is_moving = True
         run.attempt.connection.abort()
 
-    def _order_copy(self, run: _Run) -> None:
+    def _start_copy(self, run: _Run) -> None:
         """Order a copy of a run that would be lost with its engine.
 
         Copies take memory that requests wait for, so that a run whose engine is
@@ -249,8 +249,8 @@
         """
         if not self._may_end_soon(run.target):
             return
-        if self._ordering is None or self._ordering.done():
-            self._ordering = asyncio.ensure_future(self._place_and_copy(run))
+        if self._copy_task is None or self._copy_task.done():
+            self._copy_task = asyncio.ensure_future(self._place_and_copy(run))
 
     def _may_end_soon(self, target: Target) -> bool:
         """Tell whether a target may end before its runs do.
@@ -271,9 +271,9 @@
         if destination is None:
             return
         if self._run is not run or run.copy is not None:
-            destination.give_back_copy(call.need)
+            destination.release_copy(call.demand)
             return
-        run.copy = RunCopy(self._copier, call, run.target, destination, self._review)
+        run.copy = RunCopy(self._copier, call, run.target, destination, self._check_run)
         run.copy.start()
 
     async def _relay(self, run: _Run, attempt: Attempt) -> None:
@@ -282,34 +282,34 @@
             exchange.start(200, strip_hop_by_hop(attempt.head.headers))
         splitter = EventSplitter()
         while data := await attempt.connection.read():
-            fresh = self._fresh(splitter.feed(data))
-            if not fresh:
+            new_events = self._drop_duplicates(splitter.feed(data))
+            if not new_events:
                 continue
-            if not run.read:
-                run.read = True
-                run.target.note_read(self._call.need)
-            self._note_events(len(fresh))
-            exchange.send(b"".join(event.data for event in fresh))
+            if not run.prefill_done:
+                run.prefill_done = True
+                run.target.note_prefill_done(self._call.demand)
+            self._note_events(len(new_events))
+            exchange.send(b"".join(event.data for event in new_events))
             await exchange.drain()
-        if splitter.rest:
+        if splitter.remainder:
             raise UpstreamError("the stream ended inside an event", sent=True)
         exchange.finish()
 
-    def _fresh(self, found: list[StreamEvent]) -> list[StreamEvent]:
+    def _drop_duplicates(self, events_read: list[StreamEvent]) -> list[StreamEvent]:
         """Return the events that the caller does not have yet."""
-        fresh = []
-        for event in found:
-            last = self._last_number
-            if event.number is not None:
-                if last is not None and event.number <= last:
+        new_events = []
+        for event in events_read:
+            last = self._last_event_id
+            if event.event_id is not None:
+                if last is not None and event.event_id <= last:
                     continue
-                if last is not None and event.number != last + 1:
+                if last is not None and event.event_id != last + 1:
                     raise UpstreamError(
-                        f"event {event.number} follows {last}", sent=True
+                        f"event {event.event_id} follows {last}", sent=True
                     )
-                self._last_number = event.number
-            fresh.append(event)
-        return fresh
+                self._last_event_id = event.event_id
+            new_events.append(event)
+        return new_events
 
     def _note_events(self, count: int) -> None:
         now_s = self._timer.now_s()
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -8,23 +8,23 @@
 import attrs
 
 from endivesill import events
-from endivesill.fleet.follower import FleetView
 from endivesill.fleet.load import EngineLoad
 from endivesill.fleet.model import EngineInfo
 from endivesill.fleet.reports import EngineReport
+from endivesill.fleet.sync_client import FleetView
 from endivesill.forwarding.events import TARGET_EJECTED, TARGET_READMITTED
 from endivesill.forwarding.health import HealthRecord
 from endivesill.timer import TimerService
 
-__all__ = ["Need", "Target", "TargetTable"]
+__all__ = ["ResourceDemand", "Target", "TargetTable"]
 
 # A target that refuses connections or has lost its address is left alone for
 # this long, about two readings of the platform's list.
-CONNECT_REST_S = 0.5
+CONNECT_EJECTION_S = 0.5
 # The rest doubles with each further refused connection in a row, up to this.
-CONNECT_REST_LIMIT_S = 4.0
+MAX_CONNECT_EJECTION_S = 4.0
 # No more than this share of a service's targets rests because of failures.
-EJECTED_SHARE = 0.5
+MAX_EJECTED_FRACTION = 0.5
 # The rate of a cold target is bounded for each second on the target's clock;
 # the wider window takes up the spread of the way there.
 COLD_WINDOW_S = 1.1
@@ -33,13 +33,13 @@
 # How old an engine's report is when it is read, at most.
 REPORT_LAG_S = 0.6
 # Places that are kept; more are not given between two reports.
-PLACED_LIMIT = 64
+MAX_RECENT_PLACEMENTS = 64
 
 NO_LOAD = EngineLoad()
 
 
 @attrs.frozen
-class Need:
+class ResourceDemand:
     """What a request takes at a target.
 
     Attributes:
@@ -59,89 +59,91 @@
       info: what the list says of it.
       requests: this entry's requests under way there.
       reserved_tokens: memory that they and their copies are expected to need.
-      unread_tokens: prompt tokens of those without a first event.
-      others: the same of the other entries, as last told.
+      prefill_tokens: prompt tokens of those without a first event.
+      remote_load: the same of the other entries, as last told.
       draining_since_s: when this VM learnt that it is draining; None before.
-      rests_until_s: until when it gets nothing because of failures.
+      ejected_until_s: until when it gets nothing because of failures.
       health: outcomes of this entry's requests.
       report: what the engine said last; None where nobody asks.
       refused_connections: how often in a row no connection came about.
       is_replaced: whether another target has its address.
-      sends_s: when this entry sent its last requests there.
-      placed: when places were given here, with the memory of each.
+      send_times_s: when this entry sent its last requests there.
+      recent_placements: when places were given here, with the memory of each.
     """
 
     info: EngineInfo
     health: HealthRecord
     requests: int = 0
     reserved_tokens: int = 0
-    unread_tokens: int = 0
-    others: EngineLoad = NO_LOAD
+    prefill_tokens: int = 0
+    remote_load: EngineLoad = NO_LOAD
     draining_since_s: float | None = None
-    rests_until_s: float = 0.0
+    ejected_until_s: float = 0.0
     listed: bool = True
     report: EngineReport | None = None
     refused_connections: int = 0
     is_replaced: bool = False
-    sends_s: collections.deque[float] = attrs.Factory(collections.deque)
-    placed: collections.deque[tuple[float, int]] = attrs.Factory(
-        lambda: collections.deque(maxlen=PLACED_LIMIT)
+    send_times_s: collections.deque[float] = attrs.Factory(collections.deque)
+    recent_placements: collections.deque[tuple[float, int]] = attrs.Factory(
+        lambda: collections.deque(maxlen=MAX_RECENT_PLACEMENTS)
     )
 
     @property
-    def all_requests(self) -> int:
+    def total_requests(self) -> int:
         """Requests of all entries."""
-        return self.requests + self.others.requests
+        return self.requests + self.remote_load.requests
 
     @property
-    def all_reserved_tokens(self) -> int:
+    def total_reserved_tokens(self) -> int:
         """Memory reserved by all entries, or in use if that is more."""
-        reserved = self.reserved_tokens + self.others.reserved_tokens
+        reserved = self.reserved_tokens + self.remote_load.reserved_tokens
         if self.report is None:
             return reserved
         # The report does not hold the places that were given since.
         as_of_s = self.report.read_s - REPORT_LAG_S
-        since = sum(tokens for time_s, tokens in self.placed if time_s > as_of_s)
+        since = sum(
+            tokens for time_s, tokens in self.recent_placements if time_s > as_of_s
+        )
         return max(reserved, self.report.used_tokens + since)
 
     @property
-    def all_unread_tokens(self) -> int:
+    def total_prefill_tokens(self) -> int:
         """Prompt tokens without a first event of all entries."""
-        return self.unread_tokens + self.others.unread_tokens
+        return self.prefill_tokens + self.remote_load.prefill_tokens
 
-    def take(self, need: Need) -> None:
+    def reserve(self, demand: ResourceDemand) -> None:
         """Count a request as under way here."""
         self.requests += 1
-        self.reserved_tokens += need.memory_tokens
-        self.unread_tokens += need.prompt_tokens
+        self.reserved_tokens += demand.memory_tokens
+        self.prefill_tokens += demand.prompt_tokens
 
-    def note_read(self, need: Need) -> None:
+    def note_prefill_done(self, demand: ResourceDemand) -> None:
         """Count the prompt of a request as read."""
-        self.unread_tokens -= need.prompt_tokens
+        self.prefill_tokens -= demand.prompt_tokens
 
-    def give_back(self, need: Need, *, read: bool = False) -> None:
+    def release(self, demand: ResourceDemand, *, prefill_done: bool = False) -> None:
         """Count a request as ended.
 
         Args:
-          need: what it took.
-          read: whether its prompt was counted as read.
+          demand: what it took.
+          prefill_done: whether its prompt was counted as read.
         """
         self.requests -= 1
-        self.reserved_tokens -= need.memory_tokens
-        if not read:
-            self.unread_tokens -= need.prompt_tokens
+        self.reserved_tokens -= demand.memory_tokens
+        if not prefill_done:
+            self.prefill_tokens -= demand.prompt_tokens
 
-    def take_copy(self, need: Need) -> None:
+    def reserve_copy(self, demand: ResourceDemand) -> None:
         """Count the copy of a run."""
-        self.reserved_tokens += need.memory_tokens
+        self.reserved_tokens += demand.memory_tokens
 
-    def give_back_copy(self, need: Need) -> None:
+    def release_copy(self, demand: ResourceDemand) -> None:
         """Count the copy of a run as freed."""
-        self.reserved_tokens -= need.memory_tokens
+        self.reserved_tokens -= demand.memory_tokens
 
     def load(self) -> EngineLoad:
         """Return this entry's own load."""
-        return EngineLoad(self.requests, self.reserved_tokens, self.unread_tokens)
+        return EngineLoad(self.requests, self.reserved_tokens, self.prefill_tokens)
 
 
 class TargetTable:
@@ -191,29 +193,29 @@
             if target.listed:
                 self._by_service.setdefault(target.info.service, []).append(target)
 
-    def update_loads(self, others: dict[str, EngineLoad]) -> None:
+    def update_loads(self, remote_load: dict[str, EngineLoad]) -> None:
         """Take the loads of the other entries, by incarnation."""
         for incarnation, target in self._targets.items():
-            target.others = others.get(incarnation, NO_LOAD)
+            target.remote_load = remote_load.get(incarnation, NO_LOAD)
 
     def update_reports(
         self,
         report_of: Callable[[str], EngineReport | None],
-        silent: Container[str],
+        unresponsive: Container[str],
     ) -> None:
         """Take the engines' own reports, by incarnation.
 
         Args:
           report_of: returns the report of a incarnation; None without one.
-          silent: incarnations that did not answer when they were asked.
+          unresponsive: incarnations that did not answer when they were asked.
         """
         now_s = self._timer.now_s()
         for incarnation, target in self._targets.items():
             target.report = report_of(incarnation)
-            if incarnation in silent:
-                target.rests_until_s = now_s + CONNECT_REST_S
+            if incarnation in unresponsive:
+                target.ejected_until_s = now_s + CONNECT_EJECTION_S
 
-    def learn(self, info: EngineInfo) -> Target:
+    def get_or_add(self, info: EngineInfo) -> Target:
         """Return the target of an engine; the list may not have it here yet."""
         target = self._targets.get(info.incarnation)
         if target is None:
@@ -237,7 +239,7 @@
             if target.requests or target.reserved_tokens
         }
 
-    def may_have_work(self, target: Target) -> bool:
+    def accepts_requests(self, target: Target) -> bool:
         """Tell whether new requests may go to a target at all."""
         info = target.info
         return (
@@ -252,15 +254,15 @@
 
         Targets that rest come in only where nothing else is left.
         """
-        left_out = set(map(id, excluded))
+        excluded_ids = set(map(id, excluded))
         now_s = self._timer.now_s()
-        open_targets = [
+        accepting = [
             target
             for target in self._by_service.get(service, [])
-            if id(target) not in left_out and self.may_have_work(target)
+            if id(target) not in excluded_ids and self.accepts_requests(target)
         ]
-        awake = [t for t in open_targets if t.rests_until_s <= now_s]
-        return awake or open_targets
+        healthy = [t for t in accepting if t.ejected_until_s <= now_s]
+        return healthy or accepting
 
     def metric_lines(self) -> list[str]:
         """Return the metrics' lines on how many targets are in each state."""
@@ -269,10 +271,10 @@
         for target in self._targets.values():
             if target.info.is_draining or not target.listed:
                 counts["draining"] += 1
-            elif not self.may_have_work(target):
+            elif not self.accepts_requests(target):
                 counts["evacuated"] += 1
             else:
-                counts["resting" if target.rests_until_s > now_s else "ready"] += 1
+                counts["resting" if target.ejected_until_s > now_s else "ready"] += 1
         return [
             f'endivesill_engines{{state="{state}"}} {count}'
             for state, count in counts.items()
@@ -280,14 +282,14 @@
 
     def has_targets(self, service: str) -> bool:
         """Tell whether any target of a service may have work."""
-        return any(map(self.may_have_work, self._by_service.get(service, [])))
+        return any(map(self.accepts_requests, self._by_service.get(service, [])))
 
     # Rates.
 
     def may_send_now(self, target: Target, allowance: float) -> bool:
         """Tell whether one more request stays within an allowance a second."""
         now_s = self._timer.now_s()
-        sends = target.sends_s
+        sends = target.send_times_s
         window_s = (
             COLD_WINDOW_S if allowance >= 1 else COLD_WINDOW_S / max(allowance, 1e-6)
         )
@@ -297,22 +299,22 @@
 
     def note_send(self, target: Target) -> None:
         """Count a request that is sent now."""
-        target.sends_s.append(self._timer.now_s())
+        target.send_times_s.append(self._timer.now_s())
 
-    def note_placed(self, target: Target, tokens: int) -> None:
+    def note_placement(self, target: Target, tokens: int) -> None:
         """Count memory of a target that was given out now."""
-        target.placed.append((self._timer.now_s(), tokens))
+        target.recent_placements.append((self._timer.now_s(), tokens))
 
     # Health.
 
-    def rest(self, target: Target, duration_s: float, reason: str) -> None:
+    def eject(self, target: Target, duration_s: float, reason: str) -> None:
         """Leave a target alone for a time, unless too many rest already."""
         now_s = self._timer.now_s()
         peers = self._by_service.get(target.info.service, [])
-        resting = sum(t.rests_until_s > now_s for t in peers if t is not target)
-        if resting + 1 > EJECTED_SHARE * len(peers):
+        ejected = sum(t.ejected_until_s > now_s for t in peers if t is not target)
+        if ejected + 1 > MAX_EJECTED_FRACTION * len(peers):
             return
-        target.rests_until_s = now_s + duration_s
+        target.ejected_until_s = now_s + duration_s
         events.emit(
             TARGET_EJECTED,
             target=target.info.identity,
@@ -334,27 +336,27 @@
 
     def note_no_connection(self, target: Target, reason: str) -> None:
         """Leave a target alone for a time that cannot be connected to."""
-        rest_s = CONNECT_REST_S * 2**target.refused_connections
+        ejection_s = CONNECT_EJECTION_S * 2**target.refused_connections
         target.refused_connections += 1
-        self.rest(target, min(rest_s, CONNECT_REST_LIMIT_S), reason)
+        self.eject(target, min(ejection_s, MAX_CONNECT_EJECTION_S), reason)
 
     def note_overdue(self, target: Target) -> None:
         """Count an answer that did not come in good time."""
-        rest_s = target.health.note_overdue()
-        if rest_s > 0:
-            self.rest(target, rest_s, "answers are overdue")
+        ejection_s = target.health.note_overdue()
+        if ejection_s > 0:
+            self.eject(target, ejection_s, "answers are overdue")
 
     def note_outcome(self, target: Target, *, good: bool) -> None:
         """Count an answer; a target that fails far more than its peers rests."""
         target.refused_connections = 0
-        target.health.note(good=good)
+        target.health.record_response(good=good)
         peers = [
             t.health
             for t in self._by_service.get(target.info.service, [])
             if t is not target
         ]
-        rest_s = target.health.rest_s(peers)
-        if rest_s > 0:
-            self.rest(target, rest_s, "fails more often than its peers")
-        elif good and target.health.readmitted():
+        ejection_s = target.health.ejection_s(peers)
+        if ejection_s > 0:
+            self.eject(target, ejection_s, "fails more often than its peers")
+        elif good and target.health.check_readmission():
             events.emit(TARGET_READMITTED, target=target.info.identity)
--- a/endivesill/forwarding/waiting.py
+++ b/endivesill/forwarding/waiting.py
@@ -11,21 +11,21 @@
 
 from endivesill import errors
 from endivesill.fleet.model import Service
-from endivesill.forwarding.fair_queue import FairQueue, Flow, Order
-from endivesill.forwarding.placement import Need, choose_target, engine_time_s
+from endivesill.forwarding.fair_queue import FairQueue, Flow, SortKey
+from endivesill.forwarding.placement import ResourceDemand, choose_target, engine_time_s
 from endivesill.forwarding.targets import Target, TargetTable
 from endivesill.timer import TimerService
 
-__all__ = ["Admission", "NoRoomError", "PlaceRequest"]
+__all__ = ["AdmissionQueue", "NoRoomError", "PlacementRequest"]
 
 # Waiting requests for each target, beyond which a new one is refused at once.
-WAITERS_PER_TARGET = 16
+MAX_QUEUED_PER_TARGET = 16
 # How long a service counts as busy after a request had to wait; about the time
 # in which half of the generations under way end.
-BUSY_FOR_S = 4.0
+CONGESTED_FOR_S = 4.0
 # The longest generations count for no more than this, in seconds of one engine, so
 # that they are served about as often as others; a mean one takes 1 s.
-COST_LIMIT_S = 1.5
+MAX_COST_S = 1.5
 # How long a request waits at most while its service has no target at all.
 NO_TARGET_WAIT_S = 0.25
 
@@ -45,45 +45,45 @@
 
 
 @attrs.define(eq=False)
-class PlaceRequest:
+class PlacementRequest:
     """A request for a place at a target.
 
     Attributes:
       service: the service that it goes to.
-      need: what it takes.
+      demand: what it takes.
       priority: 0 is the most urgent.
-      latest_s: until when it is worth to wait.
+      wait_until_s: until when it is worth to wait.
       excluded: targets that it does not go to.
-      comes_back: whether its caller was refused before.
+      was_refused: whether its caller was refused before.
       organisation: who sends it.
     """
 
     service: Service
-    need: Need
+    demand: ResourceDemand
     priority: int
-    latest_s: float
+    wait_until_s: float
     excluded: list[Target] = attrs.Factory(list)
-    comes_back: bool = False
+    was_refused: bool = False
     organisation: str = ""
 
     @property
     def flow(self) -> Flow:
         """Whose share of the engine time it takes."""
-        return Flow(self.organisation, self.comes_back)
+        return Flow(self.organisation, self.was_refused)
 
     @property
     def cost(self) -> float:
         """The engine time that counts against its flow."""
-        return min(COST_LIMIT_S, engine_time_s(self.service, self.need))
+        return min(MAX_COST_S, engine_time_s(self.service, self.demand))
 
 
 @attrs.define(eq=False)
 class _Waiter:
-    request: PlaceRequest
+    request: PlacementRequest
     future: asyncio.Future[Target]
 
 
-class Admission:
+class AdmissionQueue:
     """Gives each request a target, at once or after a wait.
 
     Args:
@@ -91,7 +91,7 @@
       table: the targets.
       cold_allowance: returns the requests a second that a cold target of a
         service may get from here.
-      placed: called with the need and the target of each place that is given.
+      on_placed: called with the need and the target of each place that is given.
       random_source: draws among equal targets.
       new_queue: returns the queue of a service.
     """
@@ -101,7 +101,7 @@
         timer: TimerService,
         table: TargetTable,
         cold_allowance: Callable[[Service], float],
-        placed: Callable[[PlaceRequest, Target], None],
+        on_placed: Callable[[PlacementRequest, Target], None],
         random_source: random.Random,
         new_queue: Callable[[], FairQueue[Any]] = FairQueue,
     ) -> None:
@@ -109,26 +109,26 @@
         self._timer = timer
         self._table = table
         self._cold_allowance = cold_allowance
-        self._placed = placed
+        self._on_placed = on_placed
         self._random = random_source
         self._queues: dict[str, FairQueue[_Waiter]] = {}
-        self._waited_s: dict[str, float] = {}
+        self._last_queued_s: dict[str, float] = {}
 
-    def is_busy(self, service: str) -> bool:
+    def is_congested(self, service: str) -> bool:
         """Tell whether requests to a service have had to wait lately."""
-        waited_s = self._waited_s.get(service, float("-inf"))
-        return self._timer.now_s() - waited_s < BUSY_FOR_S
+        last_queued_s = self._last_queued_s.get(service, float("-inf"))
+        return self._timer.now_s() - last_queued_s < CONGESTED_FOR_S
 
-    def ahead_of(self, request: PlaceRequest) -> int:
+    def count_ahead(self, request: PlacementRequest) -> int:
         """Return how many wait that go before a request."""
         queue = self._queues.get(request.service.name)
-        return queue.ahead_of(_order(queue, request)) if queue else 0
+        return queue.count_ahead(_sort_key(queue, request)) if queue else 0
 
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Return how many requests wait."""
         return sum(map(len, self._queues.values()))
 
-    def try_place(self, request: PlaceRequest) -> Target | None:
+    def try_place(self, request: PlacementRequest) -> Target | None:
         """Give a place at a target, if one has room now."""
         service = request.service
         targets = self._table.candidates(service.name, request.excluded)
@@ -136,13 +136,13 @@
             allowance = self._cold_allowance(service)
             targets = [t for t in targets if self._table.may_send_now(t, allowance)]
         target = choose_target(
-            targets, service, request.need, self._table.data_centre, self._random
+            targets, service, request.demand, self._table.data_centre, self._random
         )
         if target is not None:
-            self._placed(request, target)
+            self._on_placed(request, target)
         return target
 
-    async def place(self, request: PlaceRequest) -> Target:
+    async def place(self, request: PlacementRequest) -> Target:
         """Return a target that has given a place to a request.
 
         Raises:
@@ -152,25 +152,25 @@
         queue = self._queues.get(service)
         if queue is None:
             queue = self._queues[service] = self._new_queue()
-        order = _order(queue, request)
-        if not queue.ahead_of(order):
+        sort_key = _sort_key(queue, request)
+        if not queue.count_ahead(sort_key):
             target = self.try_place(request)
             if target is not None:
-                queue.note_served(order[1])
+                queue.note_served(sort_key[1])
                 return target
-        left_s = request.latest_s - self._timer.now_s()
+        max_wait_s = request.wait_until_s - self._timer.now_s()
         if not self._table.has_targets(service):
-            left_s = min(left_s, NO_TARGET_WAIT_S)
-        if left_s <= 0:
+            max_wait_s = min(max_wait_s, NO_TARGET_WAIT_S)
+        if max_wait_s <= 0:
             raise NoRoomError("no room in time")
         count = len(self._table.candidates(service, ()))
-        if len(queue) >= WAITERS_PER_TARGET * max(1, count):
+        if len(queue) >= MAX_QUEUED_PER_TARGET * max(1, count):
             raise NoRoomError("queue full")
-        self._waited_s[service] = self._timer.now_s()
+        self._last_queued_s[service] = self._timer.now_s()
         waiter = _Waiter(request, asyncio.get_running_loop().create_future())
         item = queue.push(request.priority, request.flow, request.cost, waiter)
         try:
-            return await self._timer.wait_for(asyncio.shield(waiter.future), left_s)
+            return await self._timer.wait_for(asyncio.shield(waiter.future), max_wait_s)
         except errors.DeadlineExceededError:
             if waiter.future.done():
                 return waiter.future.result()
@@ -180,11 +180,11 @@
                 waiter.future.cancel()
             queue.remove(item)
 
-    def serve_waiters(self) -> None:
+    def admit_waiting(self) -> None:
         """Give places to waiting requests, the most urgent first."""
         for queue in self._queues.values():
             while queue:
-                waiter = queue.first()
+                waiter = queue.peek()
                 if not waiter.future.done():
                     target = self.try_place(waiter.request)
                     if target is None:
@@ -193,5 +193,5 @@
                 queue.pop()
 
 
-def _order(queue: FairQueue[_Waiter], request: PlaceRequest) -> Order:
-    return queue.order_of(request.priority, request.flow, request.cost)
+def _sort_key(queue: FairQueue[_Waiter], request: PlacementRequest) -> SortKey:
+    return queue.sort_key_of(request.priority, request.flow, request.cost)
--- a/endivesill/platform/configuration.py
+++ b/endivesill/platform/configuration.py
@@ -6,13 +6,13 @@
 
 from endivesill import errors
 from endivesill.fleet.model import (
-    EngineMemory,
     FleetConfiguration,
+    ModelEngineSpec,
     Organisation,
     RequestKind,
     Route,
     Service,
-    ServiceShare,
+    WeightedService,
 )
 from endivesill.platform.decode import Reader
 
@@ -65,12 +65,12 @@
         max_connections=reader.integer("max_connections", 0),
         cold_start_s=reader.number("cold_start_s", 0.0),
         cold_requests_per_s=reader.number("cold_per_s", 0.0),
-        memory=_memory(reader.object("engine")) if reader.has("engine") else None,
+        model_engine=_memory(reader.object("engine")) if reader.has("engine") else None,
     )
 
 
-def _memory(reader: Reader) -> EngineMemory:
-    return EngineMemory(
+def _memory(reader: Reader) -> ModelEngineSpec:
+    return ModelEngineSpec(
         slots=reader.integer("slots", ENGINE_SLOTS),
         capacity_tokens=reader.integer("kv_capacity_tokens", 0),
         event_tokens=reader.integer("stride", 1),
@@ -95,7 +95,7 @@
         timeout_s=timeout_ms / MS_PER_S,
         target_latency_s=reader.number("target_latency_ms", timeout_ms) / MS_PER_S,
         priority=reader.integer("priority", 0),
-        shares=_shares(reader, name, services),
+        weighted_services=_shares(reader, name, services),
         max_attempts=reader.integer("max_attempts", 1),
         is_public=reader.flag("public", False),
         gap_target_s=reader.number("gap_target_ms", 0.0) / MS_PER_S,
@@ -104,14 +104,15 @@
 
 def _shares(
     reader: Reader, route: str, services: dict[str, Service]
-) -> tuple[ServiceShare, ...]:
+) -> tuple[WeightedService, ...]:
     if reader.has("traffic_split"):
         items = reader.objects("traffic_split")
         shares = tuple(
-            ServiceShare(item.text("service"), item.number("weight")) for item in items
+            WeightedService(item.text("service"), item.number("weight"))
+            for item in items
         )
     else:
-        shares = (ServiceShare(reader.text("service"), 1.0),)
+        shares = (WeightedService(reader.text("service"), 1.0),)
     for share in shares:
         if share.service not in services:
             raise errors.DocumentError(f"route {route}: no service {share.service!r}")
--- a/endivesill/platform/control_process.py
+++ b/endivesill/platform/control_process.py
@@ -6,7 +6,7 @@
 
 from endivesill import events
 from endivesill.control import ControlReplica, ControlSettings, TimedDisk
-from endivesill.fleet.hub import FleetHub
+from endivesill.fleet.sync_service import FleetSyncService
 from endivesill.http1 import ConnectionLimits, HttpListener
 from endivesill.link_peers import LinkPeerTransport
 from endivesill.platform.client import PlatformClient
@@ -67,7 +67,7 @@
         wanted_voters=2 * settings.tolerated_losses + 1,
     )
     client = PlatformClient(timer)
-    hub = FleetHub(
+    hub = FleetSyncService(
         timer,
         replica,
         transport,
@@ -108,7 +108,7 @@
 
 
 def _lines(
-    replica: ControlReplica, hub: FleetHub, home: LeaderHome, disk: TimedDisk
+    replica: ControlReplica, hub: FleetSyncService, home: LeaderHome, disk: TimedDisk
 ) -> list[str]:
     core = replica.core
     lag = core.commit_index - replica.applied_index
--- a/endivesill/platform/engines.py
+++ b/endivesill/platform/engines.py
@@ -8,7 +8,7 @@
 
 from endivesill import errors, events
 from endivesill.fleet.model import EngineInfo
-from endivesill.forwarding.protocol import AnswerInfo, Dispatch, RequestInfo
+from endivesill.forwarding.protocol import Dispatch, RequestInfo, ResponseInfo
 from endivesill.http1 import Headers, ResponseHead, header_value
 from endivesill.http1.head import encode_head, header_values, strip_hop_by_hop
 from endivesill.platform import wire
@@ -93,7 +93,7 @@
         keys = header_values(headers, wire.API_KEY)
         return RequestInfo(
             attempt_id=header_value(headers, wire.ATTEMPT_ID).decode("latin-1"),
-            deadline_s=deadline[0] / MS_PER_S if deadline else None,
+            remaining_s=deadline[0] / MS_PER_S if deadline else None,
             key=keys[0].decode("latin-1") if len(keys) == 1 else "",
             prompt_tokens=counts[0] if counts else 0,
             maximum_output_tokens=counts[1] if len(counts) > 1 else 0,
@@ -116,14 +116,14 @@
             lines.append((b"Content-Length", b"%d" % dispatch.body_bytes))
         return encode_head(method.encode() + b" " + target + b" HTTP/1.1", lines)
 
-    def answered_attempt(self, head: ResponseHead) -> str:
+    def response_attempt_id(self, head: ResponseHead) -> str:
         """Return the attempt that an answer is to; empty if it does not say."""
         return head.header(wire.ATTEMPT_ID).decode("latin-1")
 
-    def decode_answer(self, head: ResponseHead) -> AnswerInfo:
+    def decode_response(self, head: ResponseHead) -> ResponseInfo:
         """Return what the router needs of an engine's answer."""
         status = head.status
-        return AnswerInfo(
+        return ResponseInfo(
             status=status,
             not_run=status == 421 or bool(head.header(wire.NOT_EXECUTED)),
             wrong_target=status == 421,
@@ -175,7 +175,7 @@
 
 def _dispatch_headers(dispatch: Dispatch) -> Headers:
     lines: Headers = [
-        (wire.DEADLINE, b"%d" % int(dispatch.left_s * MS_PER_S)),
+        (wire.DEADLINE, b"%d" % int(dispatch.remaining_s * MS_PER_S)),
         (wire.EXPECTED_INSTANCE, dispatch.identity.encode()),
     ]
     if dispatch.organisation:
--- a/endivesill/platform/entry_process.py
+++ b/endivesill/platform/entry_process.py
@@ -8,18 +8,18 @@
 
 from endivesill import errors, events
 from endivesill.fleet.events import CONFIGURATION_IN_FORCE
-from endivesill.fleet.follower import FleetFollower
 from endivesill.fleet.load import EngineLoad
 from endivesill.fleet.model import Service
+from endivesill.fleet.sync_client import FleetSyncClient
 from endivesill.forwarding.call_log import CallLog
 from endivesill.forwarding.forwarder import Forwarder
-from endivesill.forwarding.home import COLD_SHARE
+from endivesill.forwarding.placement_service import LEADER_COLD_FRACTION
 from endivesill.forwarding.placer import Placer
 from endivesill.forwarding.retry_budget import RetryBudget
 from endivesill.forwarding.route_table import RouteTable
 from endivesill.forwarding.statistics import Statistics
 from endivesill.forwarding.targets import TargetTable
-from endivesill.forwarding.waiting import Admission
+from endivesill.forwarding.waiting import AdmissionQueue
 from endivesill.http1 import ConnectionLimits, ConnectionPool, Exchange, HttpListener
 from endivesill.link_peers import LinkPeerTransport
 from endivesill.platform.configuration import decode_configuration
@@ -42,7 +42,7 @@
 SERVE_S = 0.02
 # Part of the rate that cold targets bear for places given without the leader,
 # which gives out the other part.
-OWN_COLD_SHARE = 1 - COLD_SHARE
+OWN_COLD_SHARE = 1 - LEADER_COLD_FRACTION
 # Streams look after their copies at least this often.
 REVIEW_S = 0.5
 # Without word from the control VMs for this long, callers do better elsewhere.
@@ -69,7 +69,7 @@
         random_source = random.Random()
         bounds = settings.bounds
         transport = LinkPeerTransport(timer, settings.peer_address)
-        self._follower = FleetFollower(
+        self._follower = FleetSyncClient(
             timer,
             transport,
             settings.seed_peers,
@@ -78,11 +78,11 @@
         )
         view = self._follower.view
         self._table = TargetTable(timer, view, settings.data_centre)
-        self._admission = Admission(
+        self._admission = AdmissionQueue(
             timer,
             self._table,
             self._cold_allowance,
-            lambda request, target: target.take(request.need),
+            lambda request, target: target.reserve(request.demand),
             random_source,
         )
         placer = Placer(timer, self._table, self._admission, self._follower, transport)
@@ -93,7 +93,7 @@
             bounds.retry_ratio,
             bounds.retry_slack,
             bounds.retry_window_s,
-            lambda: view.loan.share_at(timer.now_s()),
+            lambda: view.lease.share_at(timer.now_s()),
         )
         self._forwarder = Forwarder(
             timer,
@@ -122,11 +122,11 @@
         task = supervise(self._timer, "fleet-follower", self._follower.run)
         self._timer.call_every(PRUNE_S, self._pool.prune)
         self._timer.call_every(REVIEW_S, self._table.notify)
-        self._timer.call_every(SERVE_S, self._admission.serve_waiters)
+        self._timer.call_every(SERVE_S, self._admission.admit_waiting)
         events.emit(events.PROCESS_STARTED, vm=self._settings.vm, role="entry")
         await stop.wait()
         await self._drain(stop.since_s)
-        await self._follower.leave()
+        await self._follower.deregister()
         task.cancel()
         await self._front.stop()
         events.emit(events.PROCESS_STOPPED, vm=self._settings.vm)
@@ -138,12 +138,12 @@
         gauges = {
             "ready": int(self.is_ready()),
             "active_requests": self._front.active,
-            "waiting_requests": self._admission.waiting(),
+            "waiting_requests": self._admission.queue_length(),
             "caller_connections": len(self._front.connections),
             "target_connects_total": self._pool.connects,
             "state_version": view.version or 0,
             "engines_listed": len(view.engines),
-            "allowance_share": round(view.loan.share_at(now_s), 4),
+            "allowance_share": round(view.lease.share_at(now_s), 4),
             "knowledge_age_seconds": "+Inf" if math.isinf(age_s) else round(age_s, 3),
         }
         lines = [f"endivesill_{name} {value}" for name, value in gauges.items()]
@@ -156,7 +156,7 @@
 
     def _cold_allowance(self, service: Service) -> float:
         bounds = self._settings.bounds
-        share = self._follower.view.loan.share_at(self._timer.now_s())
+        share = self._follower.view.lease.share_at(self._timer.now_s())
         rate = bounds.cold_factor * service.cold_requests_per_s + bounds.cold_slack
         return OWN_COLD_SHARE * share * rate
 
@@ -166,9 +166,9 @@
             self._use_configuration(view.document)
         if "engines" in news:
             self._table.update_engines()
-        self._table.update_loads(view.others)
+        self._table.update_loads(view.remote_loads)
         if news - {"loads"}:
-            self._admission.serve_waiters()
+            self._admission.admit_waiting()
             self._table.notify()
 
     def _use_configuration(self, document: Any) -> None:
@@ -195,7 +195,7 @@
 
     def _silence_s(self) -> float:
         """Return how long ago all that is known was the newest."""
-        return self._timer.now_s() - self._follower.view.confirmed_s
+        return self._timer.now_s() - self._follower.view.confirmed_at_s
 
     def is_ready(self) -> bool:
         """Tell whether callers should be sent here."""
--- a/endivesill/platform/leader_home.py
+++ b/endivesill/platform/leader_home.py
@@ -5,13 +5,13 @@
 import random
 
 from endivesill.control import ControlReplica
-from endivesill.fleet.departures import DepartureWatch
-from endivesill.fleet.follower import FleetView
-from endivesill.fleet.hub import FleetHub
+from endivesill.fleet.departures import DepartureDetector
 from endivesill.fleet.model import EngineInfo, Service
 from endivesill.fleet.reports import EngineReports
-from endivesill.fleet.state import current_state, evacuations
-from endivesill.forwarding.home import PLACE_PATH, PlacementHome
+from endivesill.fleet.state import current_configuration, evacuations
+from endivesill.fleet.sync_client import FleetView
+from endivesill.fleet.sync_service import FleetSyncService
+from endivesill.forwarding.placement_service import PLACE_PATH, PlacementService
 from endivesill.forwarding.targets import TargetTable
 from endivesill.link_peers import LinkPeerTransport
 from endivesill.platform.client import PlatformClient
@@ -46,7 +46,7 @@
         settings: NodeSettings,
         timer: TimerService,
         replica: ControlReplica,
-        hub: FleetHub,
+        hub: FleetSyncService,
         transport: LinkPeerTransport,
         client: PlatformClient,
     ) -> None:
@@ -57,7 +57,7 @@
         # Entries are everywhere, so that no data centre is nearer.
         self._table = TargetTable(timer, self._view, data_centre="")
         bounds = settings.bounds
-        self._home = PlacementHome(
+        self._home = PlacementService(
             timer,
             self._table,
             hub.loads,
@@ -72,13 +72,13 @@
         self._reports = EngineReports(
             timer, PlatformReports(timer, client), self._model_engines
         )
-        self._departures = DepartureWatch(
+        self._departures = DepartureDetector(
             timer,
             PlatformHealth(client, self._health_path),
             self._model_engines,
-            hub.note_departures,
+            hub.apply_departures,
         )
-        hub.reader.use_departures(self._leaving, self._reports.noticed)
+        hub.reader.use_departure_sources(self._leaving, self._reports.with_notice)
         timer.call_every(SERVE_S, self._serve)
         timer.call_every(LOAD_LOG_S, self._home.log_load)
 
@@ -92,7 +92,7 @@
 
     def metric_lines(self) -> list[str]:
         """Return the metrics' lines on engines and waiting requests."""
-        waiting = f"endivesill_waiting_requests {self._home.waiting()}"
+        waiting = f"endivesill_waiting_requests {self._home.queue_length()}"
         return [*self._table.metric_lines(), waiting]
 
     def _leaving(self) -> frozenset[str]:
@@ -104,18 +104,22 @@
     def _model_engines(self) -> list[EngineInfo]:
         if not self._hub.leads():
             return []
-        models = {name for name, s in self._services.items() if s.memory is not None}
+        models = {
+            name for name, s in self._services.items() if s.model_engine is not None
+        }
         return [e for e in self._view.engines.values() if e.service in models]
 
     def _serve(self) -> None:
         if self._hub.leads():
-            self._table.update_reports(self._reports.of, self._reports.silent())
+            self._table.update_reports(
+                self._reports.latest, self._reports.unresponsive()
+            )
             self._home.update()
 
     def _update(self) -> None:
         if not self._hub.leads():
             return
-        state = current_state(self._replica.state)
+        state = current_configuration(self._replica.state)
         if state is not None and state["version"] != self._view.version:
             self._view.version = state["version"]
             self._services = decode_configuration(state["document"]).services
--- a/endivesill/platform/provider.py
+++ b/endivesill/platform/provider.py
@@ -5,7 +5,7 @@
 import urllib.parse
 
 from endivesill import errors, events
-from endivesill.fleet.engine_list import ListSource
+from endivesill.fleet.engine_list import EngineListSource
 from endivesill.fleet.events import LIST_ENTRY_SKIPPED
 from endivesill.fleet.model import EngineInfo
 from endivesill.platform import wire
@@ -20,7 +20,7 @@
 RATE_SHARE = 0.4
 
 
-class PlatformList(ListSource):
+class PlatformList(EngineListSource):
     """The list at the platform's address.
 
     Args:
@@ -57,7 +57,7 @@
             token = page.next_token
             if not token:
                 self._note_skipped(skipped)
-                self.shortest_period_s = calls / (RATE_SHARE * self._calls_per_s)
+                self.min_period_s = calls / (RATE_SHARE * self._calls_per_s)
                 return engines
 
     def _note_skipped(self, reasons: list[str]) -> None:
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from endivesill.control import ControlReplica, MemoryDisk
-from endivesill.fleet.engine_list import ListSource
-from endivesill.fleet.follower import FleetFollower
-from endivesill.fleet.hub import FleetHub
+from endivesill.fleet.engine_list import EngineListSource
 from endivesill.fleet.model import EngineInfo
+from endivesill.fleet.sync_client import FleetSyncClient
+from endivesill.fleet.sync_service import FleetSyncService
 from endivesill.supervision import supervise
 from tests.control_cluster import Cluster
 
 
-class SharedList(ListSource):
+class SharedList(EngineListSource):
     """The platform's list."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.news: list[set[str]] = []
         self.loads: dict = {}
         self.transport = cluster.network.transport(address)
-        self.follower = FleetFollower(
+        self.follower = FleetSyncClient(
             cluster.timer,
             self.transport,
             cluster.addresses[:1],
@@ -51,14 +51,14 @@
     def __init__(self, size: int = 3) -> None:
         super().__init__(size)
         self.list = SharedList()
-        self.hubs: dict[str, FleetHub] = {}
+        self.hubs: dict[str, FleetSyncService] = {}
         self.entries: list[Entry] = []
         self._tasks: list = []
 
     async def boot(self, address: str, disk: MemoryDisk | None = None):
         replica: ControlReplica = await super().boot(address, disk)
         transport = self.network.find(address)
-        hub = FleetHub(self.timer, replica, transport, self.list)
+        hub = FleetSyncService(self.timer, replica, transport, self.list)
         self.hubs[address] = hub
         self._tasks.append(supervise(self.timer, "hub", hub.run))
         return replica
--- a/tests/forwarding_case.py
+++ b/tests/forwarding_case.py
@@ -7,14 +7,14 @@
 import unittest
 
 from endivesill import events
-from endivesill.fleet.follower import FleetFollower
 from endivesill.fleet.model import (
     EngineInfo,
     FleetConfiguration,
     Organisation,
     RequestKind,
 )
-from endivesill.fleet.shares import Loan
+from endivesill.fleet.shares import ShareLease
+from endivesill.fleet.sync_client import FleetSyncClient
 from endivesill.forwarding.call_log import CallLog
 from endivesill.forwarding.forwarder import Forwarder
 from endivesill.forwarding.placer import Placer
@@ -22,7 +22,7 @@
 from endivesill.forwarding.route_table import RouteTable
 from endivesill.forwarding.statistics import Statistics
 from endivesill.forwarding.targets import TargetTable
-from endivesill.forwarding.waiting import Admission
+from endivesill.forwarding.waiting import AdmissionQueue
 from endivesill.http1 import (
     ConnectionPool,
     HttpListener,
@@ -59,18 +59,18 @@
         self.timer = SystemTimer()
         network = MemoryNetwork(self.timer)
         transport = network.transport("entry")
-        self.follower = FleetFollower(
+        self.follower = FleetSyncClient(
             self.timer, transport, ("nobody",), dict, lambda news: None
         )
         self.view = self.follower.view
-        self.view.loan = Loan(1.0, self.timer.now_s() + 1_000)
+        self.view.lease = ShareLease(1.0, self.timer.now_s() + 1_000)
         self.table = TargetTable(self.timer, self.view, "a")
         source = random.Random(1)
-        admission = Admission(
+        admission = AdmissionQueue(
             self.timer,
             self.table,
             lambda service: 100.0,
-            lambda request, target: target.take(request.need),
+            lambda request, target: target.reserve(request.demand),
             source,
         )
         self.pool = ConnectionPool(self.timer, 0.5, 3.0)
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -4,18 +4,18 @@
 
 import attrs
 
-from endivesill.fleet.follower import FleetView
 from endivesill.fleet.model import (
     EngineInfo,
-    EngineMemory,
+    ModelEngineSpec,
     RequestKind,
     Route,
     Service,
-    ServiceShare,
+    WeightedService,
 )
+from endivesill.fleet.sync_client import FleetView
 from endivesill.forwarding.targets import TargetTable
 
-MEMORY = EngineMemory(
+MEMORY = ModelEngineSpec(
     slots=24,
     capacity_tokens=34_000,
     event_tokens=4,
@@ -52,7 +52,7 @@
         timeout_s=5.0,
         target_latency_s=1.0,
         priority=1,
-        shares=(ServiceShare(service, 1.0),),
+        weighted_services=(WeightedService(service, 1.0),),
         max_attempts=2 if kind is RequestKind.SAFE else 1,
         is_public=True,
         gap_target_s=0.2,
--- a/tests/test_fleet_departures.py
+++ b/tests/test_fleet_departures.py
@@ -7,7 +7,7 @@
 from endivesill.fleet.departures import (
     CHECK_PERIOD_S,
     CONFIRMED_AFTER_S,
-    DepartureWatch,
+    DepartureDetector,
     HealthSource,
 )
 from endivesill.http1 import ResponseHead
@@ -36,7 +36,7 @@
         self.source = FakeHealth()
         self.engines = [engine("e1"), engine("e2")]
         self.changes = 0
-        self.watch = DepartureWatch(
+        self.watch = DepartureDetector(
             self.timer, self.source, lambda: self.engines, self._note_change
         )
         task = asyncio.ensure_future(self.watch.run())
--- a/tests/test_fleet_engine_list.py
+++ b/tests/test_fleet_engine_list.py
@@ -8,14 +8,14 @@
 from endivesill import errors
 from endivesill.fleet.engine_list import (
     EngineListReader,
-    ListSource,
+    EngineListSource,
     list_to_message,
 )
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import engine
 
 
-class FakeSource(ListSource):
+class FakeSource(EngineListSource):
     def __init__(self):
         self.engines = []
         self.fails = False
@@ -56,7 +56,7 @@
         self.assertEqual(["e1@1"], list(self.reader.current.engines))
 
     async def test_an_engine_that_reports_its_end_is_leaving_before_the_list(self):
-        self.reader.use_departures(lambda: frozenset({"e1@1"}), frozenset)
+        self.reader.use_departure_sources(lambda: frozenset({"e1@1"}), frozenset)
         self.source.engines = [engine("e1"), engine("e2")]
         await self.reader.read(1)
         leaving = [
@@ -66,25 +66,25 @@
 
     async def test_a_departure_counts_between_two_readings(self):
         leaving = set()
-        noticed = set()
-        self.reader.use_departures(
-            lambda: frozenset(leaving), lambda: frozenset(noticed)
+        with_notice = set()
+        self.reader.use_departure_sources(
+            lambda: frozenset(leaving), lambda: frozenset(with_notice)
         )
-        self.assertFalse(self.reader.note_departures())
+        self.assertFalse(self.reader.apply_departures())
         self.source.engines = [engine("e1"), engine("e2")]
         await self.reader.read(1)
-        self.assertFalse(self.reader.note_departures())
+        self.assertFalse(self.reader.apply_departures())
         leaving.add("e1@1")
-        self.assertTrue(self.reader.note_departures())
+        self.assertTrue(self.reader.apply_departures())
         self.assertEqual([1, 2], self.reader.current.stamp)
         self.assertTrue(self.reader.current.engines["e1@1"].is_draining)
-        noticed.add("e1@1")
-        self.assertTrue(self.reader.note_departures())
+        with_notice.add("e1@1")
+        self.assertTrue(self.reader.apply_departures())
         self.assertTrue(self.reader.current.engines["e1@1"].has_notice)
 
     async def test_a_long_list_is_read_as_often_as_the_platform_allows(self):
-        self.source.shortest_period_s = 3.0
-        pausing = asyncio.ensure_future(self.reader.pause())
+        self.source.min_period_s = 3.0
+        pausing = asyncio.ensure_future(self.reader.wait_until_due())
         await self.timer.advance(2.9)
         self.assertFalse(pausing.done())
         await self.timer.advance(0.2)
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -3,8 +3,8 @@
 import unittest
 
 from endivesill.fleet.load import (
-    GRANT_LIFE_S,
-    REPORT_LIFE_S,
+    GRANT_TTL_S,
+    REPORT_TTL_S,
     EngineLoad,
     FleetLoads,
 )
@@ -14,31 +14,31 @@
     def setUp(self):
         self.loads = FleetLoads()
 
-    def total(self, now_s=0.0, without=""):
-        return self.loads.sums(now_s, without).get("e", EngineLoad())
+    def total(self, now_s=0.0, excluding=""):
+        return self.loads.totals(now_s, excluding).get("e", EngineLoad())
 
     def test_reports_add_up_over_the_entries(self):
-        self.loads.report("a", {"e": [1, 100, 50]}, 0, 0.0)
-        self.loads.report("b", {"e": [2, 200, 0]}, 0, 0.0)
+        self.loads.record_report("a", {"e": [1, 100, 50]}, 0, 0.0)
+        self.loads.record_report("b", {"e": [2, 200, 0]}, 0, 0.0)
         self.assertEqual(EngineLoad(3, 300, 50), self.total())
-        self.assertEqual(EngineLoad(2, 200, 0), self.total(without="a"))
+        self.assertEqual(EngineLoad(2, 200, 0), self.total(excluding="a"))
 
     def test_a_grant_counts_until_its_entry_reports_it(self):
         number = self.loads.grant("a", {"e": EngineLoad(1, 100, 100)}, 0.0)
         self.assertEqual(EngineLoad(1, 100, 100), self.total())
-        self.loads.report("a", {}, number - 1, 0.0)
+        self.loads.record_report("a", {}, number - 1, 0.0)
         self.assertEqual(EngineLoad(1, 100, 100), self.total())
-        self.loads.report("a", {"e": [1, 100, 100]}, number, 0.0)
+        self.loads.record_report("a", {"e": [1, 100, 100]}, number, 0.0)
         self.assertEqual(EngineLoad(1, 100, 100), self.total())
 
     def test_a_grant_that_nobody_has_received_ends(self):
         self.loads.grant("a", {"e": EngineLoad(1, 100, 100)}, 0.0)
-        self.assertEqual(EngineLoad(), self.total(GRANT_LIFE_S + 0.01))
+        self.assertEqual(EngineLoad(), self.total(GRANT_TTL_S + 0.01))
 
     def test_an_entry_that_is_silent_has_no_load(self):
-        self.loads.report("a", {"e": [1, 100, 50]}, 0, 0.0)
-        self.assertEqual(EngineLoad(), self.total(REPORT_LIFE_S + 0.01))
+        self.loads.record_report("a", {"e": [1, 100, 50]}, 0, 0.0)
+        self.assertEqual(EngineLoad(), self.total(REPORT_TTL_S + 0.01))
 
     def test_numbers_go_on_after_a_change_of_the_leader(self):
-        self.loads.report("a", {}, 41, 0.0)
+        self.loads.record_report("a", {}, 41, 0.0)
         self.assertEqual(42, self.loads.grant("a", {"e": EngineLoad(1)}, 0.0))
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -4,10 +4,10 @@
 
 from endivesill.control import CommandContext, State
 from endivesill.fleet.state import (
-    current_state,
+    current_configuration,
     document_digest,
     evacuations,
-    replace_state,
+    replace_configuration,
     set_evacuation,
 )
 
@@ -26,17 +26,19 @@
             "document": document,
         }
         context = CommandContext(self.index, 0.0)
-        return replace_state(self.state, message, context)["outcome"]
+        return replace_configuration(self.state, message, context)["outcome"]
 
     def test_the_highest_version_is_in_force(self):
         self.assertEqual("in-force", self.replace(3, a=1))
         self.assertEqual("in-force", self.replace(7, a=2))
-        self.assertEqual({"version": 7, "a": 2}, current_state(self.state)["document"])
+        self.assertEqual(
+            {"version": 7, "a": 2}, current_configuration(self.state)["document"]
+        )
 
     def test_a_lower_version_changes_nothing(self):
         self.replace(7, a=2)
         self.assertEqual("superseded", self.replace(3, a=1))
-        self.assertEqual(7, current_state(self.state)["version"])
+        self.assertEqual(7, current_configuration(self.state)["version"])
 
     def test_a_resend_is_answered_again(self):
         self.replace(7, a=2)
@@ -45,7 +47,7 @@
     def test_other_content_under_the_version_in_force_is_a_conflict(self):
         self.replace(7, a=2)
         self.assertEqual("conflict", self.replace(7, a=3))
-        self.assertEqual(2, current_state(self.state)["document"]["a"])
+        self.assertEqual(2, current_configuration(self.state)["document"]["a"])
 
     def test_the_digest_does_not_depend_on_the_order_of_keys(self):
         self.assertEqual(
--- a/tests/test_fleet_sync.py
+++ b/tests/test_fleet_sync.py
@@ -1,7 +1,7 @@
 """Tests of how entries learn of the configuration, the list and each other."""
 
 from endivesill.fleet.load import EngineLoad
-from endivesill.fleet.shares import LOAN_LIFE_S
+from endivesill.fleet.shares import LEASE_DURATION_S
 from endivesill.fleet.state import (
     REPLACE,
     SET_EVACUATION,
@@ -74,8 +74,8 @@
         one, two = cluster.entries
         one.loads = {"e1@1": EngineLoad(2, 100, 50)}
         await cluster.timer.advance(1.0)
-        self.assertEqual(EngineLoad(2, 100, 50), two.view.others["e1@1"])
-        self.assertNotIn("e1@1", one.view.others)
+        self.assertEqual(EngineLoad(2, 100, 50), two.view.remote_loads["e1@1"])
+        self.assertNotIn("e1@1", one.view.remote_loads)
 
 
 class LeaderLossTest(SyncTestCase):
@@ -110,12 +110,12 @@
         await cluster.timer.advance(0.5)
         for address in list(cluster.replicas):
             await cluster.crash(address)
-        confirmed_s = entry.view.confirmed_s
+        confirmed_at_s = entry.view.confirmed_at_s
         await cluster.timer.advance(10.0)
         self.assertEqual(7, entry.view.version)
         self.assertEqual(["e1@1"], list(entry.view.engines))
-        self.assertEqual(confirmed_s, entry.view.confirmed_s)
-        self.assertEqual(0.0, entry.view.loan.share_at(cluster.timer.now_s()))
+        self.assertEqual(confirmed_at_s, entry.view.confirmed_at_s)
+        self.assertEqual(0.0, entry.view.lease.share_at(cluster.timer.now_s()))
 
 
 class ShareTest(SyncTestCase):
@@ -125,7 +125,7 @@
             for _ in range(60):
                 await cluster.timer.advance(0.2)
                 now_s = cluster.timer.now_s()
-                total = sum(e.view.loan.share_at(now_s) for e in cluster.entries)
+                total = sum(e.view.lease.share_at(now_s) for e in cluster.entries)
                 self.assertLessEqual(total, 1.0 + 1e-9)
             if round_number < 2:
                 leader = cluster.address_of(await cluster.leader())
@@ -134,10 +134,10 @@
 
     async def test_an_entry_that_stops_frees_its_share(self):
         cluster = await self.cluster(entries=2)
-        await cluster.timer.advance(3 * LOAN_LIFE_S)
+        await cluster.timer.advance(3 * LEASE_DURATION_S)
         one, two = cluster.entries
-        self.assertAlmostEqual(0.5, two.view.loan.share)
+        self.assertAlmostEqual(0.5, two.view.lease.share)
         one.task.cancel()
-        await cluster.run(one.follower.leave())
+        await cluster.run(one.follower.deregister())
         await cluster.timer.advance(0.5)
-        self.assertAlmostEqual(1.0, two.view.loan.share)
+        self.assertAlmostEqual(1.0, two.view.lease.share)
--- a/tests/test_forwarding_events.py
+++ b/tests/test_forwarding_events.py
@@ -14,14 +14,14 @@
 class EventSplitterTest(unittest.TestCase):
     def test_events_have_their_numbers(self):
         found = EventSplitter().feed(STREAM)
-        self.assertEqual([1, 2, None, 3], [event.number for event in found])
+        self.assertEqual([1, 2, None, 3], [event.event_id for event in found])
 
     def test_half_an_event_is_kept_back(self):
         splitter = EventSplitter()
         self.assertEqual(1, len(splitter.feed(b"id: 1\n\nid: 2\nda")))
-        self.assertEqual(b"id: 2\nda", splitter.rest)
-        self.assertEqual([2], [e.number for e in splitter.feed(b"ta: x\n\n")])
-        self.assertEqual(b"", splitter.rest)
+        self.assertEqual(b"id: 2\nda", splitter.remainder)
+        self.assertEqual([2], [e.event_id for e in splitter.feed(b"ta: x\n\n")])
+        self.assertEqual(b"", splitter.remainder)
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, len(STREAM))))
@@ -32,4 +32,4 @@
         for start, end in itertools.pairwise(places):
             found += splitter.feed(STREAM[start:end])
         self.assertEqual(STREAM, b"".join(event.data for event in found))
-        self.assertEqual([1, 2, None, 3], [event.number for event in found])
+        self.assertEqual([1, 2, None, 3], [event.event_id for event in found])
--- a/tests/test_forwarding_fair_queue.py
+++ b/tests/test_forwarding_fair_queue.py
@@ -75,9 +75,11 @@
     def test_how_many_go_before(self):
         self.push(FIRST, "a")
         self.push(FIRST, "b")
-        order = self.queue.order_of(1, OTHER, 1.0)
-        self.assertEqual(1, self.queue.ahead_of(order))
-        self.assertEqual(0, self.queue.ahead_of(self.queue.order_of(0, OTHER, 1.0)))
+        order = self.queue.sort_key_of(1, OTHER, 1.0)
+        self.assertEqual(1, self.queue.count_ahead(order))
+        self.assertEqual(
+            0, self.queue.count_ahead(self.queue.sort_key_of(0, OTHER, 1.0))
+        )
 
     def test_a_request_that_leaves_frees_the_way(self):
         first = self.push(FIRST, "a")
--- a/tests/test_forwarding_placement.py
+++ b/tests/test_forwarding_placement.py
@@ -6,21 +6,21 @@
 from endivesill.fleet.load import EngineLoad
 from endivesill.fleet.reports import EngineReport
 from endivesill.forwarding.placement import (
-    BACKUP_SHARE,
-    BUSY_BACKUP_SHARE,
-    MEMORY_SHARE,
-    READ_AHEAD_S,
-    READ_TOKENS_PER_S,
+    BACKUP_MEMORY_FRACTION,
+    CONGESTED_BACKUP_MEMORY_FRACTION,
+    MAX_PREFILL_BACKLOG_S,
+    MEMORY_LIMIT_FRACTION,
+    PREFILL_TOKENS_PER_S,
     choose_backup,
     choose_destination,
     choose_target,
-    fits,
+    has_capacity,
 )
-from endivesill.forwarding.targets import Need
+from endivesill.forwarding.targets import ResourceDemand
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import MEMORY, MODEL, PLAIN, engine, table_of
 
-NEED = Need(3_000, 3_500)
+NEED = ResourceDemand(3_000, 3_500)
 CAPACITY = MEMORY.capacity_tokens
 
 
@@ -35,8 +35,8 @@
         )
         return table.find_all([info.incarnation for info in engines])
 
-    def choose(self, targets, service=MODEL, need=NEED, seed=1):
-        found = choose_target(targets, service, need, "a", random.Random(seed))
+    def choose(self, targets, service=MODEL, demand=NEED, seed=1):
+        found = choose_target(targets, service, demand, "a", random.Random(seed))
         return found.info.identity if found else None
 
 
@@ -47,7 +47,7 @@
         self.assertEqual("e2", self.choose(targets))
 
     def test_no_engine_without_memory_for_the_run(self):
-        full = int(MEMORY_SHARE * CAPACITY) - NEED.memory_tokens + 1
+        full = int(MEMORY_LIMIT_FRACTION * CAPACITY) - NEED.memory_tokens + 1
         targets = self.targets(engine("e1"), loads={"e1": (5, full, 0)})
         self.assertIsNone(self.choose(targets))
         targets = self.targets(engine("e1"), loads={"e1": (5, full - 1, 0)})
@@ -63,25 +63,25 @@
         table = table_of(self.timer, engine("e1"))
         target = table.find_all(["e1@1"])[0]
         target.report = EngineReport(27_000, 0, False, False, self.timer.now_s())
-        self.assertTrue(fits(target, MODEL, NEED))
-        target.take(NEED)
-        table.note_placed(target, NEED.memory_tokens)
-        self.assertFalse(fits(target, MODEL, NEED))
+        self.assertTrue(has_capacity(target, MODEL, NEED))
+        target.reserve(NEED)
+        table.note_placement(target, NEED.memory_tokens)
+        self.assertFalse(has_capacity(target, MODEL, NEED))
 
     def test_a_surge_does_not_fill_one_new_engine_with_prompts(self):
         """Replays the load of an engine that comes while eleven requests wait."""
         targets = self.targets(engine("new"))
         placed = 0
-        while fits(targets[0], MODEL, NEED):
-            targets[0].take(NEED)
+        while has_capacity(targets[0], MODEL, NEED):
+            targets[0].reserve(NEED)
             placed += 1
-        unread_s = placed * NEED.prompt_tokens / READ_TOKENS_PER_S
-        self.assertLessEqual(unread_s, READ_AHEAD_S)
+        unread_s = placed * NEED.prompt_tokens / PREFILL_TOKENS_PER_S
+        self.assertLessEqual(unread_s, MAX_PREFILL_BACKLOG_S)
         self.assertGreaterEqual(placed, 2)
 
     def test_a_prompt_longer_than_the_bound_goes_to_an_engine_with_none(self):
-        need = Need(20_000, 21_000)
-        self.assertEqual("e1", self.choose(self.targets(engine("e1")), need=need))
+        demand = ResourceDemand(20_000, 21_000)
+        self.assertEqual("e1", self.choose(self.targets(engine("e1")), demand=demand))
 
     def test_equal_engines_are_drawn_by_lot(self):
         targets = self.targets(engine("e1"), engine("e2"))
@@ -90,18 +90,20 @@
 
     def test_a_plain_target_is_not_given_more_than_it_holds(self):
         targets = self.targets(engine("p", "app"), loads={"p": (12, 0, 0)})
-        self.assertIsNone(self.choose(targets, PLAIN, Need()))
+        self.assertIsNone(self.choose(targets, PLAIN, ResourceDemand()))
 
     def test_a_near_plain_target_wins_among_equals(self):
         targets = self.targets(
             engine("far", "app", data_centre="b"), engine("near", "app")
         )
-        self.assertEqual("near", self.choose(targets, PLAIN, Need()))
+        self.assertEqual("near", self.choose(targets, PLAIN, ResourceDemand()))
 
 
 class CopyTest(PlacementTestCase):
-    def backup(self, targets, *, is_busy=False):
-        found = choose_backup(targets, MODEL, NEED, targets[0], is_busy=is_busy)
+    def backup(self, targets, *, is_congested=False):
+        found = choose_backup(
+            targets, MODEL, NEED, targets[0], is_congested=is_congested
+        )
         return found.info.identity if found else None
 
     def test_a_backup_is_in_another_data_centre(self):
@@ -120,11 +122,13 @@
         self.assertEqual("near", self.backup(targets))
 
     def test_there_are_fewer_backups_while_requests_wait(self):
-        between = int((BACKUP_SHARE + BUSY_BACKUP_SHARE) / 2 * CAPACITY)
+        between = int(
+            (BACKUP_MEMORY_FRACTION + CONGESTED_BACKUP_MEMORY_FRACTION) / 2 * CAPACITY
+        )
         loads = {"e2": (5, between - NEED.memory_tokens, 0)}
         targets = self.targets(engine("e1"), engine("e2"), loads=loads)
         self.assertEqual("e2", self.backup(targets))
-        self.assertIsNone(self.backup(targets, is_busy=True))
+        self.assertIsNone(self.backup(targets, is_congested=True))
 
     def test_the_copy_of_a_leaving_engines_run_stays_near(self):
         targets = self.targets(
--- a/tests/test_forwarding_home.py
+++ b/tests/test_forwarding_placement_service.py
@@ -5,7 +5,10 @@
 import unittest
 
 from endivesill.fleet.load import FleetLoads
-from endivesill.forwarding.home import COLD_SHARE, PlacementHome
+from endivesill.forwarding.placement_service import (
+    LEADER_COLD_FRACTION,
+    PlacementService,
+)
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import MEMORY, MODEL, PLAIN, engine, show, table_of
 from tests.http1_fakes import settle
@@ -19,7 +22,7 @@
         self.table = table_of(self.timer, engine("e1"), engine("e2"))
         self.loads = FleetLoads()
         self.leads = True
-        self.home = PlacementHome(
+        self.home = PlacementService(
             self.timer,
             self.table,
             self.loads,
@@ -76,7 +79,7 @@
         for name in ("e1", "e2"):
             target = self.table.find_all([f"{name}@1"])[0]
             self.assertLessEqual(
-                target.all_reserved_tokens, MEMORY.capacity_tokens, name
+                target.total_reserved_tokens, MEMORY.capacity_tokens, name
             )
             self.assertLessEqual(placed.count(name), 3)
         self.assertTrue(any("refused" in answer for answer in answers))
@@ -113,8 +116,8 @@
                 memory_tokens=1,
             )
             places += "target" in answer
-            self.loads.forget(ENTRIES[0])
-        allowance = COLD_SHARE * (1.5 * MODEL.cold_requests_per_s + 5.0)
+            self.loads.remove(ENTRIES[0])
+        allowance = LEADER_COLD_FRACTION * (1.5 * MODEL.cold_requests_per_s + 5.0)
         self.assertLessEqual(places, 2 * allowance)
         self.assertGreaterEqual(places, allowance)
 
@@ -162,5 +165,5 @@
         await settle()
         task.cancel()
         await settle()
-        self.assertEqual(0, self.home._admission.waiting())
-        self.assertEqual({}, self.home._asking)
+        self.assertEqual(0, self.home._admission.queue_length())
+        self.assertEqual({}, self.home._requesting_entries)
--- a/tests/test_forwarding_placer.py
+++ b/tests/test_forwarding_placer.py
@@ -6,13 +6,13 @@
 
 import attrs
 
-from endivesill.fleet.follower import FleetFollower
+from endivesill.fleet.sync_client import FleetSyncClient
 from endivesill.forwarding.call import Call
-from endivesill.forwarding.home import PLACE_PATH
-from endivesill.forwarding.placer import Placer, latest_start_s
+from endivesill.forwarding.placement_service import PLACE_PATH
+from endivesill.forwarding.placer import Placer, compute_wait_until_s
 from endivesill.forwarding.protocol import RequestInfo
-from endivesill.forwarding.targets import Need
-from endivesill.forwarding.waiting import Admission, NoRoomError
+from endivesill.forwarding.targets import ResourceDemand
+from endivesill.forwarding.waiting import AdmissionQueue, NoRoomError
 from endivesill.peers import MemoryNetwork
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import MODEL, PLAIN, engine, route, table_of
@@ -26,15 +26,15 @@
         self.network = MemoryNetwork(self.timer)
         self.table = table_of(self.timer, engine("e1"), engine("p1", "app"))
         transport = self.network.transport("10.0.2.1:7000")
-        self.follower = FleetFollower(
+        self.follower = FleetSyncClient(
             self.timer, transport, (LEADER,), self.table.own_loads, lambda news: None
         )
         self.follower.leader = LEADER
-        admission = Admission(
+        admission = AdmissionQueue(
             self.timer,
             self.table,
             lambda service: 100.0,
-            lambda request, target: target.take(request.need),
+            lambda request, target: target.reserve(request.demand),
             random.Random(1),
         )
         self.placer = Placer(
@@ -60,10 +60,12 @@
             service=service,
             organisation="",
             priority=1,
-            need=Need(1_000, 1_040) if service is MODEL else Need(),
+            demand=ResourceDemand(1_000, 1_040)
+            if service is MODEL
+            else ResourceDemand(),
             received_s=now_s,
-            end_s=now_s + 5.0,
-            caller_end_s=now_s + 5.0,
+            deadline_s=now_s + 5.0,
+            caller_deadline_s=now_s + 5.0,
         )
 
     async def run_placed(self, call):
@@ -83,8 +85,8 @@
         self.assertEqual("e9", place.target.info.identity)
         self.assertTrue(place.by_leader)
         self.assertEqual(1, place.target.requests)
-        self.assertEqual(4, self.follower.report()["grants_seen"])
-        self.assertIn("e9@1", self.follower.report()["loads"])
+        self.assertEqual(4, self.follower.load_report()["grants_seen"])
+        self.assertIn("e9@1", self.follower.load_report()["loads"])
 
     async def test_the_leaders_refusal_holds(self):
         self.answer = {"refused": "would wait in vain", "retry_after_s": 2.5}
@@ -126,9 +128,9 @@
 class PatienceTest(PlacerTestCase):
     async def test_the_wait_ends_before_the_first_answer_would_be_late(self):
         call = self.call()
-        self.assertLess(latest_start_s(call), call.on_time_s)
-        self.assertGreater(latest_start_s(call), call.received_s)
+        self.assertLess(compute_wait_until_s(call), call.latency_deadline_s)
+        self.assertGreater(compute_wait_until_s(call), call.received_s)
 
     async def test_it_never_ends_after_the_callers_time(self):
-        call = attrs.evolve(self.call(), end_s=self.timer.now_s() + 0.1)
-        self.assertLessEqual(latest_start_s(call), call.end_s)
+        call = attrs.evolve(self.call(), deadline_s=self.timer.now_s() + 0.1)
+        self.assertLessEqual(compute_wait_until_s(call), call.deadline_s)
--- a/tests/test_forwarding_routes.py
+++ b/tests/test_forwarding_routes.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from endivesill.fleet.model import FleetConfiguration, Organisation, ServiceShare
+from endivesill.fleet.model import FleetConfiguration, Organisation, WeightedService
 from endivesill.forwarding.route_table import RouteTable, pick_service
 from tests.forwarding_fakes import MODEL, PLAIN, route
 
@@ -46,9 +46,9 @@
         organisation = Organisation("o", ("k1", "k2"), 0)
         table = RouteTable(state(organisations=(organisation,)))
         self.assertTrue(table.needs_keys)
-        self.assertEqual(organisation, table.holder("k2"))
-        self.assertIsNone(table.holder("k3"))
-        self.assertIsNone(table.holder(""))
+        self.assertEqual(organisation, table.organisation_of("k2"))
+        self.assertIsNone(table.organisation_of("k3"))
+        self.assertIsNone(table.organisation_of(""))
 
     def test_without_organisations_no_key_is_needed(self):
         self.assertFalse(RouteTable(state()).needs_keys)
@@ -56,13 +56,17 @@
 
 class WeightTest(unittest.TestCase):
     def test_services_share_by_their_weights(self):
-        shares = (ServiceShare("app", 90), ServiceShare("llm", 10))
+        shares = (WeightedService("app", 90), WeightedService("llm", 10))
         source = random.Random(1)
-        picked = [pick_service(route(shares=shares), source) for _ in range(1_000)]
+        picked = [
+            pick_service(route(weighted_services=shares), source) for _ in range(1_000)
+        ]
         self.assertTrue(850 < picked.count("app") < 950)
 
     def test_a_service_of_weight_zero_gets_nothing(self):
-        shares = (ServiceShare("app", 0), ServiceShare("llm", 10))
+        shares = (WeightedService("app", 0), WeightedService("llm", 10))
         source = random.Random(1)
-        picked = {pick_service(route(shares=shares), source) for _ in range(200)}
+        picked = {
+            pick_service(route(weighted_services=shares), source) for _ in range(200)
+        }
         self.assertEqual({"llm"}, picked)
--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -25,7 +25,7 @@
         self.assertEqual([1, 2, 3, 4, 5], numbers(body))
         self.assertEqual(0, self.target("e1").requests)
         self.assertEqual(0, self.target("e1").reserved_tokens)
-        self.assertEqual(0, self.target("e1").unread_tokens)
+        self.assertEqual(0, self.target("e1").prefill_tokens)
 
     async def test_a_run_has_a_backup_elsewhere(self):
         engines = await self.add("llm", "e1", "e2")
--- a/tests/test_forwarding_targets.py
+++ b/tests/test_forwarding_targets.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from endivesill.forwarding.health import LEAST_ANSWERS, HealthRecord
-from endivesill.forwarding.targets import COLD_WINDOW_S, Need
+from endivesill.forwarding.health import MIN_RESPONSES, HealthRecord
+from endivesill.forwarding.targets import COLD_WINDOW_S, ResourceDemand
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import engine, show, table_of
 
@@ -26,26 +26,26 @@
 
     def test_an_engine_that_left_the_list_gets_nothing_while_runs_end_there(self):
         target = self.table.find_all(["e1@1"])[0]
-        target.take(Need(10, 10))
+        target.reserve(ResourceDemand(10, 10))
         show(self.table, self.table._view, engine("e2"))
-        self.assertFalse(self.table.may_have_work(target))
+        self.assertFalse(self.table.accepts_requests(target))
         self.assertIn("e1@1", self.table.own_loads())
 
     def test_an_engine_that_starts_again_is_another_target(self):
         target = self.table.find_all(["e1@1"])[0]
-        target.take(Need(10, 10))
+        target.reserve(ResourceDemand(10, 10))
         show(self.table, self.table._view, engine("e1", incarnation="e1@2"))
-        self.assertFalse(self.table.may_have_work(target))
+        self.assertFalse(self.table.accepts_requests(target))
         self.assertEqual(0, self.table.find_all(["e1@2"])[0].requests)
 
     def test_an_engine_that_the_leader_knows_first_is_taken_up(self):
-        target = self.table.learn(engine("e3"))
+        target = self.table.get_or_add(engine("e3"))
         self.assertIn("e3", self.names())
-        self.assertIs(target, self.table.learn(engine("e3")))
+        self.assertIs(target, self.table.get_or_add(engine("e3")))
 
     def test_a_resting_target_is_used_when_nothing_else_is_left(self):
         target = self.table.find_all(["e1@1"])[0]
-        self.table.rest(target, 1.0, "as the test wants")
+        self.table.eject(target, 1.0, "as the test wants")
         self.assertEqual(["e2"], self.names())
         other = self.table.find_all(["e2@1"])[0]
         self.assertEqual(["e1"], self.names(other))
@@ -56,16 +56,16 @@
         timer = ManualTimer()
         table = table_of(timer, engine("e1"))
         target = table.find_all(["e1@1"])[0]
-        sends_s = []
+        send_times_s = []
         for _ in range(400):
             if table.may_send_now(target, 5.9):
                 table.note_send(target)
-                sends_s.append(timer.now_s())
+                send_times_s.append(timer.now_s())
             await timer.advance(0.01)
-        for start_s in sends_s:
-            inside = [s for s in sends_s if start_s <= s < start_s + 1.0]
+        for start_s in send_times_s:
+            inside = [s for s in send_times_s if start_s <= s < start_s + 1.0]
             self.assertLessEqual(len(inside), 5)
-        self.assertGreaterEqual(len(sends_s), 15)
+        self.assertGreaterEqual(len(send_times_s), 15)
 
     async def test_an_allowance_under_one_is_one_in_a_longer_time(self):
         timer = ManualTimer()
@@ -94,7 +94,7 @@
 
     def resting(self):
         now_s = self.timer.now_s()
-        return [t.info.identity for t in self.targets if t.rests_until_s > now_s]
+        return [t.info.identity for t in self.targets if t.ejected_until_s > now_s]
 
     def test_a_grey_target_rests(self):
         """Replays a target that fails half its requests with good health checks."""
@@ -128,23 +128,23 @@
         """Replays a list that still has an engine whose address another one has."""
         target = self.targets[0]
         self.table.note_replaced(target)
-        self.assertFalse(self.table.may_have_work(target))
+        self.assertFalse(self.table.accepts_requests(target))
         self.table.update_engines()
-        self.assertFalse(self.table.may_have_work(target))
+        self.assertFalse(self.table.accepts_requests(target))
         moved = engine("p1", "app", address="10.0.0.9:1")
         show(self.table, self.table._view, moved)
-        self.assertTrue(self.table.may_have_work(target))
+        self.assertTrue(self.table.accepts_requests(target))
 
     def test_refused_connections_rest_longer_each_time(self):
         target = self.targets[0]
-        rests_s = []
+        ejections_s = []
         for _ in range(5):
             self.table.note_no_connection(target, "refused")
-            rests_s.append(target.rests_until_s - self.timer.now_s())
-        self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], rests_s)
+            ejections_s.append(target.ejected_until_s - self.timer.now_s())
+        self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], ejections_s)
         self.table.note_outcome(target, good=True)
         self.table.note_no_connection(target, "refused")
-        self.assertEqual(0.5, target.rests_until_s - self.timer.now_s())
+        self.assertEqual(0.5, target.ejected_until_s - self.timer.now_s())
 
     def test_an_engine_without_reports_gets_no_places(self):
         self.table.update_reports(lambda incarnation: None, {"p1@1"})
@@ -154,11 +154,11 @@
 
     def test_the_rest_grows_with_each_finding(self):
         record, good = HealthRecord(), HealthRecord()
-        good.answers = LEAST_ANSWERS
-        rests_s = []
-        while len(rests_s) < 3:
-            record.note(good=False)
-            rest_s = record.rest_s([good])
-            if rest_s:
-                rests_s.append(rest_s)
-        self.assertEqual([2.0, 4.0, 8.0], rests_s)
+        good.responses = MIN_RESPONSES
+        ejections_s = []
+        while len(ejections_s) < 3:
+            record.record_response(good=False)
+            ejection_s = record.ejection_s([good])
+            if ejection_s:
+                ejections_s.append(ejection_s)
+        self.assertEqual([2.0, 4.0, 8.0], ejections_s)
--- a/tests/test_forwarding_waiting.py
+++ b/tests/test_forwarding_waiting.py
@@ -6,17 +6,17 @@
 
 from endivesill.fleet.load import EngineLoad
 from endivesill.forwarding.refusals import (
-    LONGEST_RETRY_S,
-    SHORTEST_RETRY_S,
-    PlaceRate,
-    ReturnList,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    PlacementRate,
+    RefusedSessions,
+    cap_retry_after_s,
     expected_wait_s,
     retry_after_s,
-    within_time_s,
 )
 from endivesill.forwarding.retry_budget import RetryBudget
-from endivesill.forwarding.targets import Need
-from endivesill.forwarding.waiting import Admission, NoRoomError, PlaceRequest
+from endivesill.forwarding.targets import ResourceDemand
+from endivesill.forwarding.waiting import AdmissionQueue, NoRoomError, PlacementRequest
 from endivesill.timer import ManualTimer
 from tests.forwarding_fakes import MODEL, engine, table_of
 from tests.http1_fakes import settle
@@ -29,17 +29,19 @@
     def setUp(self):
         self.timer = ManualTimer()
         self.table = table_of(self.timer, engine("e1"))
-        self.admission = Admission(
+        self.admission = AdmissionQueue(
             self.timer,
             self.table,
             lambda service: 100.0,
-            lambda request, target: target.take(request.need),
+            lambda request, target: target.reserve(request.demand),
             random.Random(1),
         )
 
     def request(self, *, priority=1, wait_s=1.0, **changes):
-        latest_s = self.timer.now_s() + wait_s
-        return PlaceRequest(MODEL, Need(300, 3_000), priority, latest_s, **changes)
+        wait_until_s = self.timer.now_s() + wait_s
+        return PlacementRequest(
+            MODEL, ResourceDemand(300, 3_000), priority, wait_until_s, **changes
+        )
 
     def ask(self, **changes):
         return asyncio.ensure_future(self.admission.place(self.request(**changes)))
@@ -52,11 +54,11 @@
         self.table.update_loads(FULL)
         task = self.ask()
         await settle()
-        self.assertEqual(1, self.admission.waiting())
+        self.assertEqual(1, self.admission.queue_length())
         self.table.update_loads(FREE)
-        self.admission.serve_waiters()
+        self.admission.admit_waiting()
         self.assertEqual("e1", (await task).info.identity)
-        self.assertEqual(0, self.admission.waiting())
+        self.assertEqual(0, self.admission.queue_length())
 
     async def test_the_more_urgent_goes_first_then_who_comes_back(self):
         self.table.update_loads(FULL)
@@ -68,12 +70,12 @@
 
         tasks = [
             asyncio.ensure_future(wait("plan", priority=1)),
-            asyncio.ensure_future(wait("returned", priority=1, comes_back=True)),
+            asyncio.ensure_future(wait("returned", priority=1, was_refused=True)),
             asyncio.ensure_future(wait("check", priority=0)),
         ]
         await settle()
         self.table.update_loads(FREE)
-        self.admission.serve_waiters()
+        self.admission.admit_waiting()
         await asyncio.gather(*tasks)
         self.assertEqual(["check", "returned", "plan"], order)
 
@@ -83,8 +85,8 @@
         await self.timer.advance(0.6)
         with self.assertRaises(NoRoomError):
             await task
-        self.assertEqual(0, self.admission.waiting())
-        self.assertTrue(self.admission.is_busy("llm"))
+        self.assertEqual(0, self.admission.queue_length())
+        self.assertTrue(self.admission.is_congested("llm"))
 
     async def test_a_caller_who_leaves_takes_no_place(self):
         self.table.update_loads(FULL)
@@ -93,7 +95,7 @@
         task.cancel()
         await settle()
         self.table.update_loads(FREE)
-        self.admission.serve_waiters()
+        self.admission.admit_waiting()
         self.assertEqual(0, self.table.find_all(["e1@1"])[0].requests)
 
     async def test_a_full_queue_refuses_at_once(self):
@@ -109,7 +111,7 @@
 
 class RefusalTest(unittest.TestCase):
     def test_the_wait_is_told_from_the_places_given_lately(self):
-        rate = PlaceRate()
+        rate = PlacementRate()
         for number in range(9):
             rate.note(number / 2)
         self.assertEqual(2.25, rate.per_s(4.0))
@@ -117,7 +119,7 @@
         self.assertEqual(2.0, expected_wait_s(3, 2.0))
 
     def test_a_new_leader_refuses_nobody_for_want_of_a_rate(self):
-        rate = PlaceRate()
+        rate = PlacementRate()
         self.assertEqual(0.0, expected_wait_s(3, rate.per_s(0.0)))
         rate.note(0.0)
         self.assertEqual(0.0, expected_wait_s(3, rate.per_s(1.0)))
@@ -125,27 +127,27 @@
     def test_callers_do_not_return_together_nor_after_very_long(self):
         times = {retry_after_s(2.0, spread / 10) for spread in range(10)}
         self.assertEqual(10, len(times))
-        self.assertLessEqual(retry_after_s(60.0, 1.0), 1.5 * LONGEST_RETRY_S)
+        self.assertLessEqual(retry_after_s(60.0, 1.0), 1.5 * MAX_RETRY_AFTER_S)
 
     def test_callers_come_back_when_places_are_given_anew(self):
-        self.assertGreaterEqual(retry_after_s(0.1, 0.0), SHORTEST_RETRY_S)
+        self.assertGreaterEqual(retry_after_s(0.1, 0.0), MIN_RETRY_AFTER_S)
 
     def test_a_caller_with_little_time_comes_back_in_time(self):
-        self.assertEqual(2.0, within_time_s(8.0, 6.0))
-        self.assertEqual(8.0, within_time_s(8.0, 39.0))
-        self.assertEqual(0.0, within_time_s(8.0, -1.0))
+        self.assertEqual(2.0, cap_retry_after_s(8.0, 6.0))
+        self.assertEqual(8.0, cap_retry_after_s(8.0, 39.0))
+        self.assertEqual(0.0, cap_retry_after_s(8.0, -1.0))
 
     def test_a_session_comes_back_once(self):
-        returns = ReturnList()
-        returns.refuse("s", 0.0)
-        self.assertTrue(returns.take("s", 2.0))
-        self.assertFalse(returns.take("s", 2.0))
+        returns = RefusedSessions()
+        returns.add("s", 0.0)
+        self.assertTrue(returns.consume("s", 2.0))
+        self.assertFalse(returns.consume("s", 2.0))
 
     def test_an_old_refusal_is_forgotten(self):
-        returns = ReturnList()
-        returns.refuse("s", 0.0)
-        self.assertFalse(returns.take("s", 60.0))
-        returns.refuse("t", 60.0)
+        returns = RefusedSessions()
+        returns.add("s", 0.0)
+        self.assertFalse(returns.consume("s", 60.0))
+        returns.add("t", 60.0)
         self.assertEqual(1, len(returns._refused_s))
 
 
@@ -162,7 +164,7 @@
             budget = entries[step % 7]
             budget.note_request("s")
             requests.append(timer.now_s())
-            if budget.take("s"):
+            if budget.try_acquire("s"):
                 repeats.append(timer.now_s())
             await timer.advance(0.05)
         for start_s in requests[::20]:
@@ -174,8 +176,8 @@
     async def test_an_entry_without_a_share_has_its_own_ratio_only(self):
         timer = ManualTimer()
         budget = self.budget(timer, 0.0)
-        self.assertFalse(budget.take("s"))
+        self.assertFalse(budget.try_acquire("s"))
         for _ in range(10):
             budget.note_request("s")
-        self.assertTrue(budget.take("s"))
-        self.assertFalse(budget.take("s"))
+        self.assertTrue(budget.try_acquire("s"))
+        self.assertFalse(budget.try_acquire("s"))
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -58,9 +58,9 @@
             (6.0, 1.5, 0.18),
             (stream.timeout_s, stream.target_latency_s, stream.gap_target_s),
         )
-        self.assertEqual([90, 10], [share.weight for share in split.shares])
-        self.assertEqual(24, state.services["llm"].memory.slots)
-        self.assertIsNone(state.services["app"].memory)
+        self.assertEqual([90, 10], [share.weight for share in split.weighted_services])
+        self.assertEqual(24, state.services["llm"].model_engine.slots)
+        self.assertIsNone(state.services["app"].model_engine)
         self.assertEqual(("k1", "k2"), state.organisations[0].keys)
         self.assertEqual(100, state.header_bytes)
 
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -96,7 +96,7 @@
                 (b"X-Endivesill-Prompt-Prefix", b"5c:800, 91:410"),
             ]
         )
-        self.assertEqual(("a1", 1.5), (info.attempt_id, info.deadline_s))
+        self.assertEqual(("a1", 1.5), (info.attempt_id, info.remaining_s))
         self.assertEqual(
             (1_460, 80, 60),
             (
@@ -116,7 +116,7 @@
                 (b"X-Endivesill-Prompt-Prefix", b"5c:800,91"),
             ]
         )
-        self.assertIsNone(info.deadline_s)
+        self.assertIsNone(info.remaining_s)
         self.assertEqual(0, info.prompt_tokens)
         self.assertEqual((("5c", 800),), info.prefix)
 
@@ -136,7 +136,7 @@
 class AnswerTest(unittest.TestCase):
     def answer(self, status, *headers):
         head = ResponseHead(status, list(headers), True)
-        return PlatformProtocol().decode_answer(head)
+        return PlatformProtocol().decode_response(head)
 
     def test_only_the_engine_says_that_a_request_was_not_run(self):
         self.assertFalse(self.answer(503).not_run)
