--- a/endivesill/fleet/events.py
+++ b/endivesill/fleet/events.py
@@ -1,4 +1,4 @@
-"""Log events of the fleet's shared knowledge."""
+"""Log events of the fleet state that VMs share."""
 
 from endivesill import events
 
@@ -19,43 +19,51 @@
 ]
 
 CONFIGURATION_IN_FORCE = events.define(
-    5101, "configuration-in-force", "This process uses a newer configuration."
+    5101, "configuration-in-force", "This process applied a newer configuration."
 )
 CHANGE_ANSWERED = events.define(
-    5102, "change-answered", "An operator's order was answered."
+    5102, "change-answered", "An operator's request was answered."
 )
 LEADER_REACHED = events.define(
-    5103, "leader-reached", "The control leader answers this process again."
+    5103, "leader-reached", "The control leader answers this process."
+)
+LEADER_LOST = events.define(
+    5104, "leader-lost", "No control VM answers this process as the leader."
 )
-LEADER_LOST = events.define(5104, "leader-lost", "No control VM answers as the leader.")
 ENGINE_LIST_CHANGED = events.define(
-    4501, "engine-list-changed", "The list of engines in use has changed."
+    4501, "engine-list-changed", "The list of engines has changed."
 )
 REPORTS_LOST = events.define(
-    4505, "engine-report-lost", "An engine does not answer when it is asked for load."
+    4505,
+    "engine-report-lost",
+    "An engine does not answer requests for its load report.",
 )
 REPORTS_REGAINED = events.define(
-    4506, "engine-report-regained", "An engine answers again when asked for load."
+    4506,
+    "engine-report-regained",
+    "An engine answers requests for its load report again.",
 )
 ENGINE_UNHEALTHY = events.define(
     4507,
     "engine-unhealthy",
-    "An engine says in its health check that it takes no work.",
+    "An engine fails its health check and counts as leaving.",
 )
 HEALTH_DOUBTED = events.define(
     4509,
     "engine-health-doubted",
-    "An engine fails its health check, and neither list nor report confirms it.",
+    "A failing health check is ignored: neither list nor report confirms it.",
 )
 HEALTH_UNKNOWN = events.define(
     4508, "engine-health-unknown", "An engine does not answer its health check."
 )
 LIST_LOST = events.define(
-    4502, "engine-list-lost", "The platform's list cannot be read; the last one holds."
+    4502,
+    "engine-list-lost",
+    "The platform's list cannot be read; the last one stays in use.",
 )
 LIST_REGAINED = events.define(
     4503, "engine-list-regained", "The platform's list can be read again."
 )
 LIST_ENTRY_SKIPPED = events.define(
-    4504, "list-entry-skipped", "An entry of the platform's list cannot be read."
+    4504, "list-entry-skipped", "An invalid entry of the platform's list was skipped."
 )
--- a/endivesill/forwarding/__init__.py
+++ b/endivesill/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards callers' requests to engines: routes, placement, streams."""
+"""Request forwarding: routing, placement, retries and stream relay."""
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one target, up to the head of the answer."""
+"""One attempt to send a request to a target, up to the head of its response."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 __all__ = ["Attempt", "AttemptError", "Failure", "Sender"]
 
-# Answers to other requests that are skipped on one connection.
+# Responses to other requests skipped on one connection.
 MAX_SKIPPED_RESPONSES = 2
-# An idle connection older than this may be half dead; a request that may not be
-# repeated would be lost with it.
+# A connection idle for longer may be half-open, and a request that cannot be retried
+# would be lost on it.
 NON_IDEMPOTENT_MAX_IDLE_S = 1.0
 
 
 class Failure(enum.Enum):
-    """Why an attempt has no answer to pass on."""
+    """Why an attempt has no usable response."""
 
     NO_CONNECTION = "no-connection"
     TARGET_LEFT = "target-left"
@@ -42,7 +42,7 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request has certainly not run and will not."""
+        """Whether the target certainly has not run the request and will not."""
         return self not in (Failure.BROKEN, Failure.FOREIGN_ANSWER)
 
     @property
@@ -60,7 +60,12 @@
 
 
 class AttemptError(errors.EndivesillError):
-    """An attempt without an answer to pass on."""
+    """An attempt without a usable response.
+
+    Attributes:
+      failure: the kind of failure.
+      detail: text for logs.
+    """
 
     def __init__(self, failure: Failure, detail: str) -> None:
         super().__init__(f"{failure.value}: {detail}")
@@ -70,7 +75,14 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """A request at a target whose answer has begun."""
+    """A request whose response has begun.
+
+    Attributes:
+      target: the target that runs it.
+      connection: the connection to read the body from; to be released.
+      head: the head of the response.
+      response: what routing needs of the head.
+    """
 
     target: Target
     connection: UpstreamConnection
@@ -85,7 +97,7 @@
       timer: the timer service.
       pool: connections to targets.
       table: the targets.
-      protocol: writes and reads the heads.
+      protocol: encodes and decodes heads.
     """
 
     def __init__(
@@ -109,17 +121,17 @@
         resume_from: str = "",
         last_event_id: str = "",
     ) -> Attempt:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
         Args:
           call: the request.
-          target: who shall run it; the place is reserved.
-          backup: who gets a copy of the run's memory.
-          resume_from: a copy that the run goes on from.
-          last_event_id: the last event that the caller has.
+          target: where to send it; its demand is already reserved there.
+          backup: receives a live copy of the run's KV cache.
+          resume_from: name of the copy to resume from; empty for a new run.
+          last_event_id: the last event that the caller has received.
 
         Raises:
-          AttemptError: there is no answer to pass on.
+          AttemptError: there is no usable response.
         """
         try:
             connection, head = await send_request(
@@ -129,7 +141,7 @@
                 longest_idle_s=None
                 if call.is_idempotent
                 else NON_IDEMPOTENT_MAX_IDLE_S,
-                # The list may have changed while the connection was set up.
+                # The target may have left the list during connection set-up.
                 may_start=lambda: self._table.accepts_requests(target),
                 started=call.note_sent,
                 belongs=lambda head: self._is_response_to(call, target, head),
@@ -154,7 +166,7 @@
         resume_from: str,
         last_event_id: str,
     ) -> bytes:
-        """Return the request's bytes for a target."""
+        """Return the head and body of the request for a target."""
         dispatch = Dispatch(
             identity=target.info.identity,
             remaining_s=max(0.0, call.caller_deadline_s - self._timer.now_s()),
@@ -172,7 +184,10 @@
         return head + exchange.body
 
     def _is_response_to(self, call: Call, target: Target, head: ResponseHead) -> bool:
-        """Tell whether an answer is the call's; late ones to others may come first."""
+        """Tell whether a response belongs to the call.
+
+        A late response to an earlier request may arrive first on a connection.
+        """
         answered_id = self._protocol.response_attempt_id(head)
         if answered_id in ("", call.info.attempt_id):
             return True
@@ -186,7 +201,7 @@
 
 
 def urgency(call: Call) -> int | None:
-    """Return the urgency of a generation at its engine, 0 first and 9 last."""
+    """Return the engine's urgency of a generation, 0 highest; None for the default."""
     if call.service.model_engine is None:
         return None
     return min(9, 3 + 2 * call.priority)
--- a/endivesill/forwarding/call.py
+++ b/endivesill/forwarding/call.py
@@ -1,4 +1,4 @@
-"""One request on its way through this entry."""
+"""State of one request while this entry handles it."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A request and what has become of it so far.
+    """A caller's request and its progress.
 
     Attributes:
-      exchange: the caller's side.
-      info: what its head says.
-      route: the route that it has taken.
-      service: the service that it goes to.
-      organisation: who sent it; empty if requests need no key.
+      exchange: the exchange with the caller.
+      info: what routing needs of its head.
+      route: the route that it matched.
+      service: the service chosen for it.
+      organisation: who sent it; empty if no key is needed.
       priority: 0 is the most urgent.
-      demand: what it takes at a target.
+      demand: resources that it takes at a target.
       received_s: when it was read.
-      deadline_s: when the caller or the route gives up on it.
-      caller_deadline_s: when the caller gives up on it.
+      deadline_s: the earlier of the caller's deadline and the route's time-out.
+      caller_deadline_s: the caller's deadline.
       sends: how many targets it was sent to.
-      runs: how many of them may have begun to work on it.
-      excluded: targets that it is not sent to again.
-      may_have_run: whether "not run" would be untrue.
-      waited_s: how long it has waited for a place.
+      runs: how many of them may have started to run it.
+      excluded: targets that it must not be sent to again.
+      may_have_run: whether a target may have started to run it.
+      waited_s: total time spent waiting for placements.
     """
 
     exchange: Exchange
@@ -51,7 +51,7 @@
     waited_s: float = 0.0
 
     def note_sent(self) -> None:
-        """Note that it may have reached a target."""
+        """Record that the request may have reached a target."""
         self.sends += 1
         self.may_have_run = True
 
@@ -62,5 +62,5 @@
 
     @property
     def latency_deadline_s(self) -> float:
-        """When an answer must have begun to be on time."""
+        """Latest start of the response that meets the route's target latency."""
         return self.received_s + self.route.target_latency_s
--- a/endivesill/forwarding/call_log.py
+++ b/endivesill/forwarding/call_log.py
@@ -1,4 +1,4 @@
-"""Writes what is decided about a request to the log and the statistics."""
+"""Logs each decision about a request and counts it in the statistics."""
 
 from __future__ import annotations
 
@@ -23,17 +23,16 @@
 
 
 class CallLog:
-    """One line for each decision about a request.
+    """Logs one line for each decision about a request.
 
     Args:
       timer: the timer service.
       statistics: counts outcomes.
-      view_age_s: returns how old the configuration and the list may be;
-        infinite before there are any.
+      view_age_s: returns the age of the view of the fleet; infinite before there is
+        one.
 
     Attributes:
-      version: version of the configuration that decides; None before there is
-        one.
+      version: version of the configuration in force; None before there is one.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         queue_length: int,
         call: Call | None = None,
     ) -> None:
-        """Note a request that was answered without being run."""
+        """Log a request that was refused without being run."""
         self._statistics.refused(reason, status)
         events.emit(
             REQUEST_REFUSED,
@@ -77,9 +76,9 @@
             waiting=queue_length,
         )
 
-    def placed(self, call: Call, place: Placement) -> None:
-        """Note the target that was chosen, with what decided."""
-        target = place.target
+    def placed(self, call: Call, placement: Placement) -> None:
+        """Log a placement and the load that it was based on."""
+        target = placement.target
         self._statistics.placed(call.route.kind.value, call.waited_s)
         events.emit(
             REQUEST_PLACED,
@@ -89,8 +88,8 @@
             version=self.version,
             age_s=self._age_s(),
             target=target.info.identity,
-            backup=place.backup.info.identity if place.backup else None,
-            by_leader=place.by_leader,
+            backup=placement.backup.info.identity if placement.backup else None,
+            by_leader=placement.by_leader,
             sends=call.sends,
             waited_s=round(call.waited_s, 4),
             requests=target.total_requests,
@@ -99,7 +98,7 @@
         )
 
     def attempt_failed(self, call: Call, target: Target, reason: str) -> None:
-        """Note a target that did not give a good answer."""
+        """Log an attempt without a usable response."""
         self._statistics.attempt_failed(reason)
         events.emit(
             ATTEMPT_FAILED,
@@ -111,7 +110,7 @@
         )
 
     def ended(self, call: Call, outcome: str, reason: str, **fields: float) -> None:
-        """Note the end of a request that was placed, or whose caller has left."""
+        """Log the end of a request that was not refused."""
         elapsed_s = self._timer.now_s() - call.received_s
         self._statistics.ended(call.route.kind.value, outcome, elapsed_s)
         events.emit(
--- a/endivesill/forwarding/event_stream.py
+++ b/endivesill/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a byte stream of server-sent events into events."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event.
+    """One server-sent event.
 
     Attributes:
-      event_id: its id; None if it has none.
-      data: all its bytes, with the empty line.
+      event_id: its numeric id; None without one.
+      data: its bytes, including the empty line at its end.
     """
 
     event_id: int | None
@@ -23,17 +23,17 @@
 
 
 class EventSplitter:
-    """Takes bytes and gives whole events.
+    """Incremental splitter of a byte stream.
 
     Attributes:
-      remainder: the bytes of an event that is not complete.
+      remainder: bytes of the last, incomplete event.
     """
 
     def __init__(self) -> None:
         self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete with these bytes."""
+        """Add bytes and return the events that they complete."""
         *complete, self.remainder = (self.remainder + data).split(END)
         return [StreamEvent(_event_id(block), block + END) for block in complete]
 
--- a/endivesill/forwarding/events.py
+++ b/endivesill/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Log events of forwarding."""
+"""Log events of request forwarding."""
 
 from typing import Any
 
@@ -23,41 +23,50 @@
     2101, "request-placed", "A target was chosen for a request."
 )
 REQUEST_REFUSED = events.define(
-    2102, "request-refused", "A request was answered without being run."
+    2102, "request-refused", "A request was refused without being run."
 )
 ATTEMPT_FAILED = events.define(
-    2103, "attempt-failed", "A target did not give a good answer to a request."
+    2103,
+    "attempt-failed",
+    "An attempt at a target failed or ended with a server error.",
+)
+REQUEST_ENDED = events.define(
+    2104, "request-ended", "A request that was not refused has ended."
 )
-REQUEST_ENDED = events.define(2104, "request-ended", "A request has its last byte.")
 STREAM_RESUMED = events.define(
-    2105, "stream-resumed", "A stream goes on from a copy of its run."
+    2105,
+    "stream-resumed",
+    "A stream was resumed at another engine from a copy of its run.",
 )
 RUN_COPIED = events.define(
-    2107, "run-copied", "The memory of a run was copied to another engine, or not."
+    2107, "run-copied", "An order to copy a run's KV cache to another engine has ended."
 )
 PLACE_REFUSED = events.define(
-    2108, "place-refused", "The leader has no place for an entry's request."
+    2108, "place-refused", "The leader refused an entry's request for a placement."
 )
 FLEET_BUSY = events.define(
-    2109, "fleet-busy", "Requests wait for places; the load of each engine."
+    2109, "fleet-busy", "Requests to a service are queued; the load of each engine."
 )
 ANSWER_SKIPPED = events.define(
-    2106, "answer-skipped", "An answer to another request came on a connection."
+    2106, "answer-skipped", "A response to another request was skipped."
 )
 TARGET_EJECTED = events.define(
-    4511, "target-ejected", "A target's own answers show that it fails; it rests."
+    4511,
+    "target-ejected",
+    "A target was ejected because of failures, or its address was reused.",
 )
 TARGET_READMITTED = events.define(
-    4512, "target-readmitted", "An ejected target may have requests again."
+    4512, "target-readmitted", "An ejected target has passed its probation."
 )
 
 FAILURES = {kind.number for kind in (REQUEST_REFUSED, ATTEMPT_FAILED, PLACE_REFUSED)}
 
 
 def request_failed(kind: events.EventKind, fields: dict[str, Any]) -> bool | None:
-    """Tell of an event whether its request has failed; None while that is open.
+    """Return whether an event ends its request in failure; None while that is open.
 
-    An attempt that has failed counts: what was decided before it explains it.
+    A failed attempt counts as a failure, so that the events before it are kept, which
+    explain it.
     """
     if kind is REQUEST_ENDED:
         return fields["outcome"] != "answered"
--- a/endivesill/forwarding/fair_queue.py
+++ b/endivesill/forwarding/fair_queue.py
@@ -1,11 +1,11 @@
-"""The order in which waiting requests get their places.
-
-Answers the pattern of an overload that lasts: some organisations send most of the
-load, long generations hold an engine's memory many times longer than short ones, and
-callers who were refused come back while others keep coming. Self-clocked fair
-queueing gives each flow the same share of engine time: a request's tag is what its
-flow will have taken once it is served. A flow that asks for less goes first, and no
-flow waits for ever, since the tags of all others grow.
+"""Fair queueing of requests that wait for capacity.
+
+Under sustained overload a few organisations may send most of the load, long generations
+hold the KV cache many times longer than short ones, and refused callers retry while new
+requests arrive. Self-clocked fair queueing gives each flow an equal share of engine
+time: a request is tagged with the virtual time at which its flow would finish it. Flows
+that use less are served earlier, and no flow starves because the finish tags of all
+others keep growing.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 __all__ = ["FairQueue", "Flow", "SortKey"]
 
 T = TypeVar("T")
-# The priority, the tag, and whether the caller comes for the first time.
+# Priority, finish tag, and whether the request is not a retry after a refusal.
 SortKey = tuple[int, float, bool]
 
 
 @attrs.frozen
 class Flow:
-    """Requests that share one part of the engine time.
+    """Requests that together get one share of engine time.
 
     Attributes:
-      organisation: who sends them.
-      was_refused: whether their callers were refused before.
+      organisation: the organisation that sends them.
+      was_refused: whether they are retries after a refusal.
     """
 
     organisation: str
@@ -47,7 +47,7 @@
 
 
 class FairQueue(Generic[T]):
-    """Waiting requests: the more urgent first, then by the tags of their flows."""
+    """Queue ordered by priority, then by finish tag."""
 
     def __init__(self) -> None:
         self._items: list[_Item[T]] = []
@@ -62,16 +62,16 @@
         return bool(self._items)
 
     def sort_key_of(self, priority: int, flow: Flow, cost: float) -> SortKey:
-        """Return where a request would stand: its priority, its tag, its past."""
+        """Return the sort key that a request would get; the queue is unchanged."""
         finish_tag = max(self._virtual_time, self._finish_tags.get(flow, 0.0)) + cost
         return priority, finish_tag, not flow.was_refused
 
     def count_ahead(self, sort_key: SortKey) -> int:
-        """Return how many go before a request with an order."""
+        """Return how many queued requests are served before a sort key."""
         return sum(item.sort_key <= sort_key for item in self._items)
 
     def push(self, priority: int, flow: Flow, cost: float, value: T) -> _Item[T]:
-        """Add a request; return what `remove` takes."""
+        """Add a request; return the handle for `remove`."""
         sort_key = self.sort_key_of(priority, flow, cost)
         item = _Item(sort_key, next(self._sequences), value)
         self._finish_tags[flow] = sort_key[1]
@@ -79,24 +79,24 @@
         return item
 
     def remove(self, item: _Item[T]) -> None:
-        """Drop a request that waits no longer."""
+        """Remove a request that no longer waits; no effect if it is not queued."""
         if item in self._items:
             self._items.remove(item)
             heapq.heapify(self._items)
 
     def peek(self) -> T:
-        """Return the request that is next."""
+        """Return the next request without removing it."""
         return self._items[0].value
 
     def pop(self) -> T:
-        """Take the request that is next; it is served now."""
+        """Remove and return the next request, and advance the virtual time."""
         item = heapq.heappop(self._items)
         self.note_served(item.sort_key[1])
         return item.value
 
     def note_served(self, finish_tag: float) -> None:
-        """Move the clock on to the tag of a request that is served."""
+        """Advance the virtual time to the finish tag of a served request."""
         self._virtual_time = max(self._virtual_time, finish_tag)
         if not self._items:
-            # Nobody waits: past shares do not count against anybody.
+            # An empty queue starts anew: earlier service does not count against a flow.
             self._finish_tags.clear()
--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests: route, place, send, pass the answer on."""
+"""Handling of callers' requests: routing, placement, retries and the response."""
 
 from __future__ import annotations
 
@@ -35,35 +35,34 @@
 
 __all__ = ["Forwarder"]
 
-# Sendings of one request that targets rejected or that found no connection.
+# Attempts of one request that targets rejected or that found no connection.
 MAX_REJECTIONS = 4
-# Share of the time left that one attempt of a repeatable request may take while
-# there is another target to try; answers the pattern of a target that hangs.
+# Fraction of the remaining time for one attempt of an idempotent request while it may
+# be retried; limits the delay caused by a target that hangs.
 ATTEMPT_TIME_FRACTION = 0.4
-# Retry-After for a caller whose request found no room: engines give room back
-# as generations end, some each second.
+# Default Retry-After; engines release capacity each second as generations end.
 RETRY_AFTER_S = 1.0
-# Retry-After of an entry that does not know the routes yet.
+# Retry-After of an entry that has no configuration yet.
 NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 
 
 class Forwarder:
-    """Serves the callers' port.
+    """Handles the requests that arrive on the callers' port.
 
     Args:
       timer: the timer service.
       table: the targets.
-      admission: places requests here.
-      placer: gets requests their places.
-      budget: the budget of repeats.
+      admission: places requests locally.
+      placer: places requests.
+      budget: limits retries.
       pool: connections to targets.
-      protocol: reads and writes heads.
-      log: notes each decision.
-      random_source: picks among services and spreads returns.
+      protocol: decodes and encodes heads.
+      log: logs each decision.
+      random_source: chooses among weighted services and draws jitter.
 
     Attributes:
-      refuse_streams: whether new generations are refused because this process
-        ends before they would.
+      refuse_streams: whether new generations are refused because this process is about
+        to stop.
     """
 
     def __init__(
@@ -94,7 +93,7 @@
 
     @property
     def routes(self) -> RouteTable | None:
-        """The configuration in force; None before there is one."""
+        """The routes of the configuration in force; None before there is one."""
         return self._routes
 
     @routes.setter
@@ -103,7 +102,7 @@
         self._log.version = routes.configuration.version if routes else None
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Handle one request until its response is complete."""
         info = self._protocol.decode_request(exchange.headers)
         if self.routes is None:
             self._refuse(
@@ -157,7 +156,7 @@
         )
 
     async def _serve_with_deadline(self, call: Call) -> None:
-        """Serve a request until its time is over or its caller has left."""
+        """Serve a request until its deadline or until its caller disconnects."""
         exchange = call.exchange
         task = asyncio.current_task()
         assert task is not None
@@ -167,7 +166,7 @@
             return
 
         def cancel_call() -> None:
-            # A call that may not be repeated and has begun is left to finish.
+            # A non-idempotent call that may have reached a target runs to its end.
             if call.route.kind is not RequestKind.UNSAFE or not call.may_have_run:
                 task.cancel()
 
@@ -188,15 +187,15 @@
         rejections = 0
         while True:
             try:
-                place = await self._placer.place(call)
+                placement = await self._placer.place(call)
             except NoRoomError as error:
                 self._finish_failed(call, 502, error.reason, error.retry_after_s)
                 return
-            target = place.target
-            self._log.placed(call, place)
+            target = placement.target
+            self._log.placed(call, placement)
             try:
                 if call.route.kind is RequestKind.STREAMING:
-                    await self._forward_stream(call, place)
+                    await self._forward_stream(call, placement)
                     return
                 if await self._forward_plain(call, target):
                     return
@@ -211,7 +210,7 @@
     # Plain requests.
 
     async def _forward_plain(self, call: Call, target: Target) -> bool:
-        """Send a request once; return whether the caller has its answer."""
+        """Send a request once; return False if it is to be tried elsewhere."""
         try:
             attempt, body = await self._read_response(call, target)
         finally:
@@ -226,10 +225,10 @@
         return True
 
     async def _read_response(self, call: Call, target: Target) -> tuple[Attempt, bytes]:
-        """Return a target's whole answer.
+        """Send a request and return its complete response.
 
         Raises:
-          AttemptError: there is none.
+          AttemptError: there is no complete response.
         """
 
         async def exchange() -> tuple[Attempt, bytes]:
@@ -255,7 +254,10 @@
             overdue.cancel()
 
     def _may_rerun(self, call: Call) -> bool:
-        """Tell whether a request that has run may run once more, elsewhere."""
+        """Tell whether a request that has run may run again at another target.
+
+        Takes one retry from the budget if so.
+        """
         return (
             call.is_idempotent
             and call.runs < call.route.max_attempts
@@ -265,7 +267,10 @@
         )
 
     def _may_resend(self, call: Call, error: AttemptError, rejections: int) -> bool:
-        """Tell whether a request without an answer may be sent once more."""
+        """Tell whether a request without a response may be sent again.
+
+        Takes one retry from the budget where the target has seen the request.
+        """
         failure = error.failure
         if failure.not_run:
             call.may_have_run = call.runs > 0
@@ -285,8 +290,8 @@
 
     # Streams.
 
-    async def _forward_stream(self, call: Call, place: Placement) -> None:
-        target = place.target
+    async def _forward_stream(self, call: Call, placement: Placement) -> None:
+        target = placement.target
         relay = StreamRelay(
             self._timer,
             self._sender,
@@ -297,7 +302,7 @@
             call,
         )
         try:
-            attempt = await relay.run(place)
+            attempt = await relay.run(placement)
         except StreamBrokenError as error:
             self._table.note_outcome(target, good=False)
             self._finish_failed(call, 502, str(error), events=relay.events)
@@ -347,7 +352,11 @@
         retry_after_s: float | None = None,
         **fields: int,
     ) -> None:
-        """Give a request its final answer: not run, unknown, or a broken stream."""
+        """End a request that has no response to forward.
+
+        It is refused if no target ran it, ended with an unknown outcome if one may
+        have, and broken off if its stream has begun.
+        """
         exchange = call.exchange
         if exchange.answered:
             self._log.ended(call, "broken", reason, **fields)
--- a/endivesill/forwarding/health.py
+++ b/endivesill/forwarding/health.py
@@ -1,4 +1,4 @@
-"""Outlier detection from the answers of a target itself."""
+"""Outlier detection from a target's own responses."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 
 __all__ = ["HealthRecord"]
 
-# Weight of the newest answer in the moving failure share.
+# Weight of the newest response in the moving average of the failure rate.
 EWMA_WEIGHT = 0.1
-# Answers before a failure share says anything.
+# Responses needed before the failure rate is used.
 MIN_RESPONSES = 5
-# A target is an outlier if it fails this much more often than its peers' mean;
-# some requests fail by themselves wherever they run.
+# A target is an outlier if its failure rate exceeds that of its best peer by this much;
+# some requests fail at any target.
 MAX_EXCESS_FAILURE_RATE = 0.25
-# Answers that are overdue in a row before a target rests; one may be slow work.
+# Consecutive overdue responses before a target is ejected; a single one may be slow
+# work.
 MAX_OVERDUE = 2
-# Rest after the first finding; it doubles with each further one in a row.
+# Duration of the first ejection; it doubles with each one that follows.
 BASE_EJECTION_S = 2.0
 MAX_EJECTION_S = 16.0
 
 
 class HealthRecord:
-    """The moving failure share of one target.
+    """Failure rate and ejections of one target.
 
     Attributes:
-      failure_rate: from 0 to 1.
-      responses: how many answers were seen, up to `MIN_RESPONSES`.
-      overdue: requests without an answer in good time since the last answer.
+      failure_rate: moving average, from 0 to 1.
+      responses: responses counted since the last ejection, up to `MIN_RESPONSES`.
+      overdue: overdue responses since the last response.
     """
 
     def __init__(self) -> None:
@@ -37,26 +38,29 @@
         self._on_probation = False
 
     def note_overdue(self) -> float:
-        """Count an answer that is overdue; return how long the target should rest.
+        """Count an overdue response; return the ejection in seconds, 0 for none.
 
-        Answers the pattern of a target that takes requests and says nothing:
-        its failures show only when the requests' time is over.
+        Detects a target that accepts requests without answering, before the requests
+        time out.
         """
         self.overdue += 1
         return self._next_ejection_s() if self.overdue >= MAX_OVERDUE else 0.0
 
     def record_response(self, *, good: bool) -> None:
-        """Count one answer."""
+        """Count one response."""
         self.overdue = 0
         self.responses = min(MIN_RESPONSES, self.responses + 1)
         sample = 0.0 if good else 1.0
         self.failure_rate += EWMA_WEIGHT * (sample - self.failure_rate)
 
     def ejection_s(self, peers: Sequence[HealthRecord]) -> float:
-        """Return how long the target should rest; 0 if it is no outlier.
+        """Return the ejection in seconds; 0 unless the target is an outlier.
 
-        Answers the pattern of a target that fails part of its requests while
-        its health check is good.
+        Detects a target that fails part of its requests although its health check
+        passes. A positive result restarts the statistics of the target.
+
+        Args:
+          peers: the records of the other targets of its service.
         """
         if self.responses < MIN_RESPONSES:
             return 0.0
@@ -75,7 +79,7 @@
         return ejection_s
 
     def check_readmission(self) -> bool:
-        """Tell once that a target on probation has answered well again."""
+        """Return whether probation ends now; true once after each ejection."""
         if not self._on_probation or self.responses < MIN_RESPONSES:
             return False
         self._on_probation = False
--- a/endivesill/forwarding/placement.py
+++ b/endivesill/forwarding/placement.py
@@ -1,4 +1,4 @@
-"""Which target a request goes to: pure decisions on counted loads."""
+"""Target selection from reserved and reported load, without side effects."""
 
 from __future__ import annotations
 
@@ -18,42 +18,43 @@
     "estimate_demand",
 ]
 
-# Prompt tokens that an engine reads in a second beside the generations that run
-# there; half of what it reads alone.
+# Prefill throughput of an engine that also decodes other generations; half of its
+# throughput when idle.
 PREFILL_TOKENS_PER_S = 7_000.0
-# Prompts that an engine is given ahead: the last of them has its first event
-# within the target latency of today's routes.
+# Prefill work queued at one engine. The last prompt of a longer backlog would miss the
+# target latency of the route.
 MAX_PREFILL_BACKLOG_S = 1.3
-# Time between two tokens of a run at an engine with others.
+# Time per output token at an engine that runs several generations.
 DECODE_S_PER_TOKEN = 0.01
-# Share of its output that a generation holds in memory on the mean of its run;
-# the runs of an engine are at different points of theirs.
+# Share of its final output that a generation holds in the KV cache, averaged over its
+# run. The generations of an engine are at different points of their runs.
 MEAN_OUTPUT_FRACTION = 0.5
-# Output expected of a generation without an estimate, as a share of its longest.
+# Expected output without an estimate by the caller, as a fraction of the longest.
 DEFAULT_OUTPUT_FRACTION = 0.5
-# What one more running request costs the others and itself, in seconds of wait;
-# a step of decoding grows by about this much over an answer.
+# Cost of each request that already runs at an engine, as extra wait: every further
+# request lengthens the decode step by about this much over a whole answer.
 RUNNING_COST_S = 0.01
-# The same for a plain target with all its slots in use.
+# The same for a plain target whose slots are all in use.
 PLAIN_FULL_COST_S = 0.06
-# A target elsewhere must be this much better: bytes between data centres cost.
+# Penalty for a target in another data centre, since traffic between data centres is
+# charged for.
 CROSS_DATA_CENTRE_COST_S = 0.03
-# Share of an engine's memory that is given out; the rest takes up outputs that
-# are longer than expected.
+# Fraction of the KV cache that is reserved at most; the rest absorbs outputs longer
+# than estimated.
 MEMORY_LIMIT_FRACTION = 0.92
-# Share up to which backups are made while no request has to wait.
+# KV cache fill up to which backups are placed while no request is queued.
 BACKUP_MEMORY_FRACTION = 0.75
-# The same while requests have had to wait lately.
+# The same while requests have been queued recently.
 CONGESTED_BACKUP_MEMORY_FRACTION = 0.5
-# Requests that a plain target may have besides those that it runs at once; its
-# own queue holds some, and more only wait there instead of here.
+# Requests sent to a plain target beyond its slots, as a fraction of them. The target
+# queues a few itself; any more wait here, where another target can take them.
 PLAIN_QUEUE_FRACTION = 1.0
-# Cost of a nearly full memory, at 1; it grows with the square of the fill.
+# Cost of a full KV cache; it grows with the square of the fill.
 MEMORY_COST_S = 0.2
 
 
 def estimate_demand(info: RequestInfo, service: Service) -> ResourceDemand:
-    """Return what a request takes at a target of a service."""
+    """Return the resources that a request is expected to take at a target."""
     if service.model_engine is None:
         return ResourceDemand()
     max_output_tokens = info.maximum_output_tokens
@@ -66,10 +67,10 @@
 
 
 def engine_time_s(service: Service, demand: ResourceDemand) -> float:
-    """Return the time for which a run takes a whole engine's memory.
+    """Return the engine time of a request, in seconds of one engine's whole KV cache.
 
-    Answers the pattern of an overload with short and long generations: memory is
-    what is scarce, and a long one holds it many times longer.
+    The KV cache is the scarce resource when short and long generations overload the
+    engines, and a long generation holds its part many times longer.
     """
     if service.model_engine is None:
         return PLAIN_FULL_COST_S
@@ -81,10 +82,10 @@
 
 
 def has_capacity(target: Target, service: Service, demand: ResourceDemand) -> bool:
-    """Tell whether a target has room for a request now.
+    """Tell whether a target can take a request now.
 
-    Answers the pattern of more requests than the engines hold: what does not
-    fit would wait or be preempted in an engine, where it cannot be placed anew.
+    Requests beyond an engine's capacity would be queued or preempted by the engine,
+    where they can no longer be placed elsewhere.
     """
     if service.model_engine is None:
         return target.total_requests < (1 + PLAIN_QUEUE_FRACTION) * target.info.slots
@@ -107,7 +108,7 @@
 def cost_s(
     target: Target, service: Service, demand: ResourceDemand, data_centre: str
 ) -> float:
-    """Return the expected wait for the first answer, with what else it costs."""
+    """Return the expected time to the first byte, with penalties for load, distance."""
     cost = PLAIN_FULL_COST_S * target.total_requests / max(1, target.info.slots)
     if service.model_engine is not None:
         prefill_tokens = target.total_prefill_tokens + demand.prompt_tokens
@@ -131,10 +132,10 @@
     data_centre: str,
     random_source: random.Random,
 ) -> Target | None:
-    """Return the cheapest target that has room, or None.
+    """Return the target of least cost that has capacity, or None.
 
-    Equal ones are drawn by lot, so that entries with the same reports do not
-    all choose the same target.
+    Ties are broken at random, so that entries with the same reports do not all choose
+    the same target.
     """
     best: list[Target] = []
     best_cost_s = float("inf")
@@ -157,12 +158,12 @@
     *,
     is_congested: bool,
 ) -> Target | None:
-    """Return the target for a copy of a run from its start on, or None.
+    """Return the target that receives a live copy of a run's KV cache, or None.
 
-    Answers the pattern of engines that are taken away on short notice or crash
-    while they generate. The engines of a data centre may all leave at once, so
-    that another one is better. A backup takes the memory of a run, so that there
-    are fewer while requests wait for memory.
+    The copy lets the run resume after its engine has crashed or been taken away at
+    short notice. A target in another data centre is preferred, since all engines of one
+    data centre may leave together. A copy takes as much KV cache as the run, so fewer
+    are placed while requests are queued.
     """
     if service.model_engine is None or not service.model_engine.has_backups:
         return None
@@ -181,10 +182,10 @@
 def choose_destination(
     targets: Sequence[Target], service: Service, demand: ResourceDemand, source: Target
 ) -> Target | None:
-    """Return the target that gets a copy of a run without a backup, or None.
+    """Return the target for a copy of a run that has no backup, or None.
 
-    The engine is about to leave, and a copy within its data centre takes half
-    the time.
+    Used for runs of an engine that is about to leave. A target in the same data centre
+    is preferred, since the copy takes half the time there.
     """
     if service.model_engine is None or not service.model_engine.has_moves:
         return None
@@ -204,7 +205,7 @@
     source: Target,
     memory_fraction: float,
 ) -> Target | None:
-    """Return the target with the most free memory, or None without room."""
+    """Return the target with the most free KV cache, or None if none has room."""
     assert service.model_engine is not None
     limit = (
         memory_fraction * service.model_engine.capacity_tokens - demand.memory_tokens
--- a/endivesill/forwarding/placement_service.py
+++ b/endivesill/forwarding/placement_service.py
@@ -1,8 +1,8 @@
-"""Places generations for all entries, at the leader of the control VMs.
+"""Placement of generations for all entries, on the leader of the control VMs.
 
-An engine's memory and its prompts to read are too scarce to be shared out by
-entries that each know only their own load: several would fill the same new
-engine at once. The leader sees all of it and gives one place after the other.
+Entries that each know only their own load would overcommit engines: several of them
+would fill the same new engine at once. The leader sees the load of all entries and
+grants one placement after another.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
 
 PLACE_PATH = "/fleet/place"
 
-# Part of the rate that cold targets bear which the leader gives out; the other
-# part is for entries that place by themselves while there is no leader.
+# Fraction of a cold target's request rate that the leader may use; the rest is for
+# entries that place requests while there is no leader.
 LEADER_COLD_FRACTION = 0.5
 
 
 class PlacementService:
-    """Answers entries that ask for a place.
+    """Grants placements to entries while this VM leads.
 
     Args:
       timer: the timer service.
-      table: the targets, with no load of their own.
+      table: the targets; this process adds no load of its own.
       loads: the loads of all entries.
       services: returns a service of the configuration in force, or None.
-      cold_bounds: factor and slack on the rate that a cold target bears.
+      cold_bounds: factor and slack applied to the request rate of cold targets.
       is_leader: tells whether this VM leads.
-      random_source: draws among equal engines and spreads returns.
-      new_queue: returns the queue of waiting requests of a service.
+      random_source: breaks ties between engines and draws the jitter of Retry-After.
+      new_queue: creates the queue of a service.
     """
 
     def __init__(
@@ -93,16 +93,16 @@
         return LEADER_COLD_FRACTION * (factor * service.cold_requests_per_s + slack)
 
     def update(self) -> None:
-        """Take changed loads and targets, and serve who waits."""
+        """Apply changed loads and targets, then place queued requests."""
         self._table.update_loads(self._loads.totals(self._timer.now_s()))
         self._admission.admit_waiting()
 
     def queue_length(self) -> int:
-        """Return how many requests wait for a place."""
+        """Return the number of queued requests."""
         return self._admission.queue_length()
 
     def log_load(self) -> None:
-        """Write the load of the engines of busy services to the log."""
+        """Log the engine load of each congested service."""
         for name in list(self._placement_rates):
             if not self._admission.is_congested(name):
                 continue
@@ -120,20 +120,19 @@
         return None if math.isinf(rate) else round(rate, 2)
 
     async def handle(self, message: Message) -> Message:
-        """Give an entry a place.
+        """Answer an entry's request for a placement.
 
         Args:
           message: `{"entry", "loads", "grants_seen", "service", "priority",
-            "request_id", "session", "organisation", "prompt_tokens",
-            "memory_tokens", "patience_s", "return_patience_s", "excluded",
-            "holder"}`: who asks, its load, and
-            what it needs a place for; with a `source`, the place is for a copy
-            of a run at that engine.
+            "request_id", "session", "organisation", "prompt_tokens", "memory_tokens",
+            "patience_s", "return_patience_s", "excluded", "holder"}`: the entry, its
+            load and the demand. With a `holder`, a copy of a run is placed, whose
+            source is the engine of that incarnation.
 
         Returns:
-          `{"number", "target", "backup"}` with engines as in the list;
-          `{"refused", "retry_after_s"}` with the reason; `{"leader": None}`
-          from a VM that does not lead.
+          `{"number", "target", "backup"}` with engines as in the list; `{"refused",
+          "retry_after_s"}` with the reason; `{"leader": None}` from a VM that does not
+          lead.
         """
         now_s = self._timer.now_s()
         service = self._services(message["service"])
@@ -185,14 +184,14 @@
         return _grant_reply(number, target, backup)
 
     def _expected_wait_s(self, request: PlacementRequest) -> float:
-        """Return how long a request waits if there is no room right now."""
+        """Return the expected wait of a request that no target can take now."""
         rate = self._placement_rates[request.service.name].per_s(self._timer.now_s())
         return expected_wait_s(self._admission.count_ahead(request), rate)
 
     async def _place_or_refuse(
         self, request: PlacementRequest, wait_s: float
     ) -> Target:
-        """Give a place, unless the request would wait in vain."""
+        """Place a request, or refuse it if it would have to wait for too long."""
         if self._timer.now_s() + wait_s <= request.wait_until_s:
             return await self._admission.place(request)
         target = None
@@ -203,7 +202,7 @@
         return target
 
     def _record_placement(self, request: PlacementRequest, target: Target) -> None:
-        """Count a place for the entry that has asked, with its backup."""
+        """Record a grant and its backup in the load of the requesting entry."""
         demand = request.demand
         targets = self._table.candidates(request.service.name, ())
         is_congested = self._admission.is_congested(request.service.name)
--- a/endivesill/forwarding/placer.py
+++ b/endivesill/forwarding/placer.py
@@ -1,4 +1,4 @@
-"""How an entry gets a place for a request: from the leader, or by itself."""
+"""Placement of an entry's requests, by the leader or locally."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 __all__ = ["Placement", "Placer", "compute_wait_until_s"]
 
-# What an answer of the leader may take besides the wait for a place.
+# Time allowed for the leader's reply beyond the wait in its queue.
 LEADER_REPLY_MARGIN_S = 0.25
-# How long the request of a caller who comes back after a refusal waits: it is the
-# next to be placed, and a full fleet gives some places each second.
+# Longest wait of a retry after a refusal. It is among the next to be placed, and even
+# full engines release some capacity each second.
 REFUSED_MAX_WAIT_S = 3.0
 REFUSED_MAX_WAIT_FRACTION = 0.5
-# Part of the target latency that is kept back for what cannot be foreseen.
+# Fraction of the target latency kept as a safety margin.
 LATENCY_RESERVE_FRACTION = 0.1
 
 
 @attrs.frozen
 class Placement:
-    """A place at a target.
+    """A target chosen for a request.
 
     Attributes:
-      target: who runs the request.
-      backup: who gets a copy of its memory; None for no copy.
-      by_leader: whether the leader gave it.
+      target: runs the request.
+      backup: receives a live copy of the run's KV cache; None for no copy.
+      by_leader: whether the leader chose it.
     """
 
     target: Target
@@ -49,11 +49,10 @@
 
 
 def compute_wait_until_s(call: Call) -> float:
-    """Return until when it is worth to wait for a place.
+    """Return when to stop waiting for a placement.
 
-    Answers the pattern of a burst: an answer that begins after its target
-    latency helps its caller less than another caller's answer in time, so the
-    wait ends when the first answer would be late.
+    The wait ends once the first byte would miss its target latency: during a burst,
+    capacity helps more if it goes to a request that can still be answered on time.
     """
     prefill_s = call.demand.prompt_tokens / PREFILL_TOKENS_PER_S
     reserve_s = LATENCY_RESERVE_FRACTION * call.route.target_latency_s
@@ -62,15 +61,15 @@
 
 
 class Placer:
-    """Gets places for an entry's requests.
+    """Places an entry's requests.
 
-    Generations get theirs from the leader, which knows the load of all entries.
-    Plain requests are placed here, and so is everything while no leader answers.
+    Generations are placed by the leader, which knows the load of all entries. Plain
+    requests are placed locally, and so are generations while no leader answers.
 
     Args:
       timer: the timer service.
       table: the targets.
-      admission: places without the leader.
+      admission: places requests locally.
       sync_client: knows the leader.
       transport: calls the leader.
     """
@@ -90,17 +89,17 @@
         self._transport = transport
 
     async def place(self, call: Call) -> Placement:
-        """Return a place for a request; it is counted as taken.
+        """Return a placement; its demand is reserved at the target and the backup.
 
         Raises:
-          NoRoomError: there will be none in time.
+          NoRoomError: no target had capacity in time.
         """
         started_s = self._timer.now_s()
         try:
             if call.service.model_engine is not None:
-                place = await self._request_placement(call)
-                if place is not None:
-                    return place
+                placement = await self._request_placement(call)
+                if placement is not None:
+                    return placement
             return await self._place_locally(call)
         finally:
             call.waited_s += self._timer.now_s() - started_s
@@ -120,7 +119,7 @@
         return Placement(target, backup, by_leader=False)
 
     def reserve_backup(self, call: Call, target: Target) -> Target | None:
-        """Return a backup with a place taken for a run at a target, or None."""
+        """Choose a backup for a run and reserve its demand there; None without one."""
         targets = self._table.candidates(call.service.name, ())
         is_congested = self._admission.is_congested(call.service.name)
         backup = choose_backup(
@@ -131,7 +130,7 @@
         return backup
 
     async def _request_placement(self, call: Call) -> Placement | None:
-        """Ask the leader; None if it does not answer."""
+        """Request a placement from the leader; None if it does not answer."""
         max_wait_s = max(0.0, compute_wait_until_s(call) - self._timer.now_s())
         answer = await self._request_from_leader(call, max_wait_s, source="")
         if answer is None:
@@ -147,14 +146,17 @@
         return Placement(target, backup, by_leader=True)
 
     def _refused_max_wait_s(self, call: Call) -> float:
-        """Return how long a caller waits who was refused before; it is late anyway."""
+        """Return the longest wait if this is a retry after a refusal.
+
+        The target latency of such a request is missed already.
+        """
         remaining_s = call.deadline_s - self._timer.now_s()
         return max(
             0.0, min(REFUSED_MAX_WAIT_S, REFUSED_MAX_WAIT_FRACTION * remaining_s)
         )
 
     async def place_copy(self, call: Call, source: Target) -> Target | None:
-        """Return a target with a place taken for a copy of a run, or None."""
+        """Return a target with the demand of a copy of a run reserved, or None."""
         answer = await self._request_from_leader(
             call, 0.0, source=source.info.incarnation
         )
@@ -202,10 +204,10 @@
     async def _call_leader(
         self, leader: str, message: Message, timeout_s: float
     ) -> Message | None:
-        """Return the leader's answer; None once it is lost.
+        """Return the leader's reply; None if the leader is lost meanwhile.
 
-        The answer may take as long as a place does, while the sync shows within
-        half a second that a leader is gone.
+        The reply may take as long as the wait in the queue, while `leader_lost` fires
+        within half a second.
         """
         call_task = asyncio.ensure_future(
             self._transport.call(leader, PLACE_PATH, message, timeout_s)
@@ -217,7 +219,7 @@
             )
             return call_task.result() if call_task.done() else None
         except errors.PeerUnreachableError:
-            # The follower notices and logs the loss of the leader.
+            # The sync client detects and logs the loss of the leader.
             return None
         finally:
             call_task.cancel()
--- a/endivesill/forwarding/protocol.py
+++ b/endivesill/forwarding/protocol.py
@@ -1,6 +1,6 @@
-"""What forwarding needs of the heads of requests and answers.
+"""Interface to the platform's request and response headers.
 
-An adapter implements `EngineProtocol` for the headers of one platform.
+An adapter implements `EngineProtocol` for one platform.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 @attrs.frozen
 class RequestInfo:
-    """A caller's request, as far as routing needs it.
+    """What routing needs of a caller's request.
 
     Attributes:
-      attempt_id: names this attempt of the caller.
-      remaining_s: how long the caller still waits; None if it does not say.
-      key: its API key; empty if there is not exactly one.
-      prompt_tokens: length of the prompt; 0 for no generation.
-      maximum_output_tokens: longest output that it accepts.
+      attempt_id: the caller's id of this attempt.
+      remaining_s: time until the caller's deadline; None if not given.
+      key: the API key; empty unless there is exactly one.
+      prompt_tokens: length of the prompt; 0 if this is no generation.
+      maximum_output_tokens: longest output that the caller accepts; 0 if not given.
       expected_output_tokens: the caller's estimate; 0 without one.
-      prefix: parts of the prompt in order, each with its tokens.
+      prefix: id and tokens of each part of the prompt, in order.
     """
 
     attempt_id: str
@@ -38,22 +38,22 @@
 
     @property
     def session(self) -> str:
-        """Names the last part of the prompt, which is the caller's own."""
+        """Id of the caller's session: the last part of the prompt is its own."""
         return self.prefix[-1][0] if self.prefix else self.attempt_id
 
 
 @attrs.frozen
 class Dispatch:
-    """What the system adds to a request for one engine.
+    """What is added to a request for one engine.
 
     Attributes:
       identity: the engine that must run it.
-      remaining_s: how long the caller still waits.
-      organisation: who sent it; empty if requests need no key.
-      urgency: 0 to 9, 0 first; None for the engine's usual one.
-      backup_address: engine that gets a copy of the run's memory; or empty.
-      resume_from: HOST:PORT/ID of a copy to go on from; or empty.
-      last_event_id: the last event that the caller has, with `resume_from`.
+      remaining_s: time until the caller's deadline.
+      organisation: who sent it; empty if no key is needed.
+      urgency: 0 to 9, 0 is the most urgent; None for the engine's default.
+      backup_address: engine that receives a live copy of the run; may be empty.
+      resume_from: HOST:PORT/ID of the copy to resume from; may be empty.
+      last_event_id: the caller's last event, with `resume_from`.
       body_bytes: length of the body.
     """
 
@@ -69,12 +69,12 @@
 
 @attrs.frozen
 class ResponseInfo:
-    """An engine's answer, as far as routing needs it.
+    """What routing needs of an engine's response.
 
     Attributes:
       status: the HTTP status.
-      not_run: whether the engine says that it did not run the request.
-      wrong_target: whether another target has the address.
+      not_run: whether the engine states that it did not run the request.
+      wrong_target: whether another target answered at the address.
     """
 
     status: int
@@ -83,7 +83,7 @@
 
 
 class EngineProtocol(Protocol):
-    """Reads and writes heads."""
+    """Decodes and encodes the heads of requests and responses."""
 
     def decode_request(self, headers: Headers) -> RequestInfo:
         """Return what routing needs of a caller's request."""
@@ -94,21 +94,21 @@
         """Return the head of the request to an engine."""
 
     def response_attempt_id(self, head: ResponseHead) -> str:
-        """Return the attempt that an answer is to; empty if it does not say."""
+        """Return the attempt id of a response; empty if it has none."""
 
     def decode_response(self, head: ResponseHead) -> ResponseInfo:
-        """Return what routing needs of an engine's answer."""
+        """Return what routing needs of an engine's response."""
 
     def encode_copy_order(
         self, source: str, attempt_id: str, destination: str
     ) -> bytes:
-        """Return the request that orders a copy of a run; addresses are HOST:PORT."""
+        """Return the request that orders the copy of a run; addresses are HOST:PORT."""
 
     def decode_copy_name(self, body: bytes) -> str:
-        """Return the name of a copy; empty if the answer has none."""
+        """Return the handle of a copy; empty if the body has none."""
 
     def encode_copy_release(self, source: str, name: str) -> bytes:
-        """Return the request that frees a copy."""
+        """Return the request that releases a copy."""
 
     def refusal_headers(self, retry_after_s: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of a response that this process makes itself."""
--- a/endivesill/forwarding/retry_budget.py
+++ b/endivesill/forwarding/retry_budget.py
@@ -1,4 +1,4 @@
-"""Repeats allowed to this entry out of the bound for all entries."""
+"""Limits this entry's retries to its share of a fleet-wide bound."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 __all__ = ["RetryBudget"]
 
-# Kept back from the bound: windows of different entries do not begin together.
+# Fraction of the bound that is used, since the windows of different entries do not
+# start together.
 BUDGET_SAFETY_FRACTION = 0.8
 
 
 class RetryBudget:
-    """Counts requests and repeats to each service over a sliding window.
+    """Counts requests and retries to each service over a sliding window.
 
     Args:
       timer: the timer service.
-      ratio: repeats allowed for each request.
-      slack: repeats allowed besides to all entries together, in a window.
-      window_s: the window.
-      share: returns the part of the slack that this entry may use now.
+      ratio: retries allowed per request.
+      slack: further retries allowed per window to all entries together.
+      window_s: length of the window.
+      share: returns this entry's current share of the slack, from 0 to 1.
     """
 
     def __init__(
@@ -41,11 +42,11 @@
         self._retries: dict[str, collections.deque[float]] = {}
 
     def note_request(self, service: str) -> None:
-        """Count the first sending of a request."""
+        """Count a request, but not its retries."""
         self._recent(self._requests, service).append(self._timer.now_s())
 
     def try_acquire(self, service: str) -> bool:
-        """Take one repeat; False if the budget is used up."""
+        """Take one retry from the budget; False if it is exhausted."""
         retries = self._recent(self._retries, service)
         requests = len(self._recent(self._requests, service))
         allowed = self._ratio * requests + self._share() * self._slack
--- a/endivesill/forwarding/route_table.py
+++ b/endivesill/forwarding/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and the organisation of a key."""
+"""Looks up the route of a request and the organisation of an API key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteTable:
-    """One configuration, prepared for look-ups.
+    """Look-up tables of one configuration.
 
     Args:
       configuration: the configuration.
@@ -29,11 +29,11 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests of routes that are not public need a key."""
+        """Whether requests to routes that are not public need an API key."""
         return bool(self.configuration.organisations)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins the path."""
+        """Return the route with the longest matching path prefix, or None."""
         routes = self._hosts.get(host)
         if routes is None:
             return None
@@ -45,12 +45,12 @@
         return None
 
     def organisation_of(self, key: str) -> Organisation | None:
-        """Return the organisation that holds a key."""
+        """Return the organisation of an API key, or None."""
         return self._organisation_by_key.get(key)
 
 
 def pick_service(route: Route, random_source: random.Random) -> str:
-    """Return one of a route's services, by weight."""
+    """Choose one of a route's services at random, by weight."""
     if len(route.weighted_services) == 1:
         return route.weighted_services[0].service
     weights = [weighted.weight for weighted in route.weighted_services]
--- a/endivesill/forwarding/run_copy.py
+++ b/endivesill/forwarding/run_copy.py
@@ -1,7 +1,7 @@
-"""Copies the memory of a run to another engine, so that it can go on there.
+"""Copies the KV cache of a run to another engine, where the run can be resumed.
 
-The run is not stopped while it is copied: an engine that goes on from a copy reads
-the few tokens that the copy lacks faster than they could be copied.
+The run goes on while it is copied: prefilling the few tokens that the copy lacks is
+faster than copying them.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 __all__ = ["CopyFailedError", "RunCopy", "RunCopier"]
 
-# A run of some thousand tokens takes a fifth of a second on a free link; runs
-# of one engine are copied one after the other.
+# Some thousand tokens take 0.2 s on an idle link; an engine copies its runs one after
+# another.
 COPY_TIMEOUT_S = 4.0
-# Period in which a copy takes up what the run has made since; well within the
-# time for which an engine keeps a copy that nobody asks for.
+# Interval at which a copy is brought up to date; well below the time after which
+# engines discard an unused copy.
 REFRESH_S = 1.5
 RELEASE_TIMEOUT_S = 1.0
 
 
 class CopyFailedError(errors.EndivesillError):
-    """An engine that did not copy a run."""
+    """An engine did not make or release a copy."""
 
 
 class RunCopier:
@@ -38,7 +38,7 @@
     Args:
       timer: the timer service.
       pool: connections to targets.
-      protocol: writes and reads the orders.
+      protocol: encodes and decodes the orders.
     """
 
     def __init__(
@@ -49,15 +49,15 @@
         self._protocol = protocol
 
     async def copy(self, call: Call, source: Target, destination: Target) -> str:
-        """Copy a run and return the name of the copy, as the source has it.
+        """Copy a run and return the copy's handle at the source.
 
         Args:
           call: the request that runs.
-          source: where it runs.
-          destination: who gets the copy.
+          source: the engine that runs it.
+          destination: the engine that receives the copy.
 
         Raises:
-          CopyFailedError: there is no copy.
+          CopyFailedError: no copy was made.
         """
         order = self._protocol.encode_copy_order(
             source.info.address, call.info.attempt_id, destination.info.address
@@ -68,7 +68,11 @@
         return self._protocol.decode_copy_name(body)
 
     async def release(self, source: Target, name: str) -> None:
-        """Free a copy that is not needed any more."""
+        """Release a copy that is not needed any more.
+
+        Raises:
+          CopyFailedError: the engine did not answer.
+        """
         order = self._protocol.encode_copy_release(source.info.address, name)
         await self._exchange(source, order, RELEASE_TIMEOUT_S)
 
@@ -85,19 +89,19 @@
 
 
 class RunCopy:
-    """A copy of one run at another engine, kept up to date.
+    """A copy of one run at another engine, refreshed every `REFRESH_S`.
 
     Args:
       copier: orders the copies.
       call: the request that runs.
-      source: where it runs.
-      destination: who gets the copy; a place is taken there.
-      on_copied: called after each copy.
+      source: the engine that runs it.
+      destination: receives the copy; its demand is already reserved there.
+      on_copied: called after each copy, made or failed.
 
     Attributes:
-      destination: who has the copy.
-      name: names the copy; empty before there is one.
-      has_failed: whether there will be none.
+      destination: the engine that has the copy.
+      name: HOST:PORT/HANDLE of the copy; empty before it is complete.
+      has_failed: whether copying has failed; it is not tried again.
     """
 
     def __init__(
@@ -120,22 +124,22 @@
 
     @property
     def name(self) -> str:
-        """Names the copy for the engine that goes on from it."""
+        """Name of the copy for the engine that resumes from it."""
         if not self._handle:
             return ""
         return f"{self._source.info.address}/{self._handle}"
 
     def start(self) -> None:
-        """Make the copy in the background."""
+        """Start copying in the background."""
         self._task = asyncio.ensure_future(self._run())
 
     def claim(self) -> str:
-        """Return the copy's name for the engine that goes on from it."""
+        """Return the copy's name for a resume, so that `close` does not release it."""
         self._claimed = True
         return self.name
 
     def close(self) -> None:
-        """End the copy; one that is not used is freed."""
+        """Stop copying and release the copy unless it was claimed."""
         if self._task is not None:
             self._task.cancel()
             self.destination.release_copy(self._call.demand)
@@ -171,7 +175,7 @@
         try:
             await self._copier.release(self._source, self._handle)
         except CopyFailedError as error:
-            # The engines free it themselves some seconds later.
+            # Engines discard unused copies after some seconds.
             events.emit(
                 RUN_COPIED,
                 request_id=self._call.info.attempt_id,
--- a/endivesill/forwarding/statistics.py
+++ b/endivesill/forwarding/statistics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of forwarding."""
+"""Counters and histograms of forwarded requests."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 __all__ = ["Statistics"]
 
-# Upper bounds of the latency histogram's buckets.
+# Upper bounds of the histogram buckets.
 BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 
 
 class Statistics:
-    """Counts outcomes by kind of route and by reason.
+    """Counts requests by kind of route and by reason.
 
-    Reasons come from a fixed set of texts, but for details after a colon, which
-    are left out, so that the labels stay bounded.
+    Reasons are cut at the first colon, which separates details from a fixed set of
+    texts, so that the number of labels stays bounded.
     """
 
     def __init__(self) -> None:
@@ -27,24 +27,24 @@
         self._failed: collections.Counter[str] = collections.Counter()
 
     def refused(self, reason: str, status: int) -> None:
-        """Count a request that was answered without being run."""
+        """Count a refused request."""
         self._refused[reason.partition(":")[0], status] += 1
 
     def ended(self, kind: str, outcome: str, elapsed_s: float) -> None:
-        """Count a request that has ended."""
+        """Count an ended request and its duration."""
         self._ended[kind, outcome] += 1
         self._durations[kind].record_s(elapsed_s)
 
     def placed(self, kind: str, waited_s: float) -> None:
-        """Count a place that was found, with the wait for it."""
+        """Count a placement and the wait for it."""
         self._waits[kind].record_s(waited_s)
 
     def attempt_failed(self, reason: str) -> None:
-        """Count a target that gave no good answer."""
+        """Count an attempt without a usable response."""
         self._failed[reason.partition(":")[0]] += 1
 
     def lines(self) -> list[str]:
-        """Return the metrics as lines of Prometheus text."""
+        """Return the metrics in Prometheus text format, one line each."""
         lines = []
         for (kind, outcome), count in sorted(self._ended.items()):
             labels = f'kind="{kind}",outcome="{outcome}"'
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -1,4 +1,7 @@
-"""Passes a stream of events on to the caller, each event once and in order."""
+"""Relays a generation's event stream to its caller and resumes it from copies.
+
+The caller gets each event once and in order, also over several engines.
+"""
 
 from __future__ import annotations
 
@@ -19,32 +22,32 @@
 
 __all__ = ["StreamBrokenError", "StreamRelay"]
 
-# Copies of a run that are tried one after the other.
+# How often one stream may be resumed.
 MAX_RESUMES = 6
-# How long after an engine has begun to drain its report tells whether it has been
-# given notice: reports are up to 0.7 s old when they are read every 0.35 s.
+# How long after an engine has begun to drain its report shows whether it was given
+# notice: reports are up to 0.7 s old and are read every 0.35 s.
 NOTICE_LAG_S = 1.2
-# A generation makes an event every few hundredths of a second. One that has
-# been silent for this long stands at an engine that is dark, and goes on
-# elsewhere if there is a copy; a preempted one is back before.
+# Engines emit an event every few hundredths of a second. After this long without one,
+# the stream is resumed elsewhere if there is a copy; preempted generations resume
+# sooner.
 STALL_TIMEOUT_S = 1.5
 
 
 class StreamBrokenError(errors.EndivesillError):
-    """A stream that cannot go on."""
+    """A stream that cannot be continued."""
 
 
 @attrs.define(eq=False)
 class _Run:
-    """The run of a generation at one engine.
+    """One run of a generation at one engine.
 
     Attributes:
       target: the engine.
-      backup: who gets a copy of its memory as it grows.
-      attempt: the answer, once it has begun.
-      prefill_done: whether the prompt was counted as read.
-      copy: a copy that was ordered because the backup cannot be used.
-      is_moving: whether it was ended to go on from its copy.
+      backup: receives a live copy of the run's KV cache.
+      attempt: the response, once it has begun.
+      prefill_done: whether the prompt was counted as prefilled.
+      copy: a copy on demand, made because the backup cannot be used.
+      is_moving: whether it was stopped in order to resume from its copy.
     """
 
     target: Target
@@ -56,22 +59,22 @@
 
 
 class StreamRelay:
-    """Runs one generation, at one engine after the other if they leave.
+    """Relays one generation, resuming it at another engine where necessary.
 
     Args:
       timer: the timer service.
       sender: sends requests.
       pool: connections to targets.
       table: the targets.
-      placer: finds places for copies.
+      placer: places copies.
       copier: orders copies of runs.
       call: the request.
 
     Attributes:
-      events: how many events were passed on.
-      first_event_s: when the first was.
-      longest_gap_s: the longest pause between two.
-      resumes: how often the stream went on at another engine.
+      events: events sent to the caller.
+      first_event_s: when the first one was sent.
+      longest_gap_s: longest time between two.
+      resumes: how often the stream was resumed.
     """
 
     def __init__(
@@ -100,18 +103,18 @@
         self.resumes = 0
         self._last_event_s = 0.0
 
-    async def run(self, place: Placement) -> Attempt | None:
-        """Run the request at a place that is taken for it.
+    async def run(self, placement: Placement) -> Attempt | None:
+        """Run the request at its placement until the stream has ended.
 
         Returns:
-          An attempt whose answer is not a stream, for the caller of this method
-          to pass on and release; None after a stream that was passed on whole.
+          An attempt whose response is not a stream, which the caller of this method
+          forwards and releases; None after a complete stream.
 
         Raises:
-          AttemptError: the first attempt gave no answer and no copy exists.
-          StreamBrokenError: events were passed on and no more can be had.
+          AttemptError: the first attempt has no response and there is no copy.
+          StreamBrokenError: the stream has begun and cannot be continued.
         """
-        run = self._run = _Run(place.target, place.backup)
+        run = self._run = _Run(placement.target, placement.backup)
         self._table.watchers.add(self._check_run)
         try:
             return await self._relay_runs(run)
@@ -120,7 +123,7 @@
             self._table.watchers.discard(self._check_run)
 
     async def _relay_runs(self, run: _Run) -> Attempt | None:
-        """Run at one engine after the other."""
+        """Relay one run after another."""
         resume_from = ""
         while True:
             try:
@@ -148,7 +151,11 @@
         return run.attempt
 
     def _non_stream_response(self, attempt: Attempt) -> Attempt:
-        """Return an attempt whose answer is to be passed on as a whole."""
+        """Return an attempt whose response is to be forwarded as a whole.
+
+        Raises:
+          StreamBrokenError: the caller has received part of a stream already.
+        """
         if self._call.exchange.answered:
             self._pool.release(attempt.connection)
             raise StreamBrokenError(f"status {attempt.response.status} on a resume")
@@ -167,7 +174,12 @@
     def _next_run(
         self, run: _Run, error: errors.EndivesillError, *, was_resumed: bool
     ) -> tuple[_Run, str]:
-        """Return the next run and the copy that it goes on from."""
+        """Return the run that continues the stream and the copy it resumes from.
+
+        Raises:
+          AttemptError: the request was not run.
+          StreamBrokenError: there is no usable copy.
+        """
         call = self._call
         events.emit(
             ATTEMPT_FAILED,
@@ -195,7 +207,7 @@
         return _Run(target, self._placer.reserve_backup(call, target)), copy
 
     def _find_copy(self, run: _Run) -> tuple[Target | None, str]:
-        """Return who has a copy of a run that has ended, and its name."""
+        """Return the target that has a copy of an ended run, and the copy's name."""
         if run.backup is not None and self._table.accepts_requests(run.backup):
             address = run.backup.info.address
             return run.backup, f"{address}/{self._call.info.attempt_id}"
@@ -207,7 +219,10 @@
         return copy.destination, copy.claim()
 
     def _check_run(self) -> None:
-        """Look after the run when targets have changed, and from time to time."""
+        """Resume a stalled run elsewhere, or start, drop or use a copy of the run.
+
+        Called whenever the targets have changed, and periodically.
+        """
         run = self._run
         if run is None or run.attempt is None or not self.events:
             return
@@ -231,21 +246,19 @@
             self._move(run)
 
     def _move(self, run: _Run) -> None:
-        """Let a run go on from its copy before its engine ends.
+        """Stop a run so that it resumes from its copy before its engine shuts down.
 
-        Answers the pattern of an engine that is taken away with all its runs: if
-        they all go on elsewhere in the moment of its end, they delay each other
-        beyond the longest pause that is on time.
+        If all runs of an engine resumed only when it shuts down, they would delay each
+        other beyond the gap target of their routes.
         """
         assert run.attempt is not None
         run.is_moving = True
         run.attempt.connection.abort()
 
     def _start_copy(self, run: _Run) -> None:
-        """Order a copy of a run that would be lost with its engine.
+        """Copy a run whose engine may shut down before it ends.
 
-        Copies take memory that requests wait for, so that a run whose engine is
-        not about to end gets none.
+        Other runs get no copy, since copies take KV cache that queued requests need.
         """
         if not self._may_end_soon(run.target):
             return
@@ -253,10 +266,10 @@
             self._copy_task = asyncio.ensure_future(self._place_and_copy(run))
 
     def _may_end_soon(self, target: Target) -> bool:
-        """Tell whether a target may end before its runs do.
+        """Tell whether a target may shut down before its runs have ended.
 
-        A target that drains without notice goes on until they have ended; but
-        the notice shows some time after the drain.
+        A target that drains without notice waits for its runs, but the notice is
+        visible only some time after the drain has begun.
         """
         if not target.listed or target.info.has_notice:
             return True
@@ -296,7 +309,11 @@
         exchange.finish()
 
     def _drop_duplicates(self, events_read: list[StreamEvent]) -> list[StreamEvent]:
-        """Return the events that the caller does not have yet."""
+        """Return the events that the caller has not received yet.
+
+        Raises:
+          UpstreamError: an event is missing.
+        """
         new_events = []
         for event in events_read:
             last = self._last_event_id
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -1,4 +1,4 @@
-"""The targets as one entry sees them: list, load, health, cold rate."""
+"""The targets of one entry: list, load, health and rate limits."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 __all__ = ["ResourceDemand", "Target", "TargetTable"]
 
-# A target that refuses connections or has lost its address is left alone for
-# this long, about two readings of the platform's list.
+# First ejection of a target that refuses connections or whose list entry may be stale;
+# about two reads of the platform's list.
 CONNECT_EJECTION_S = 0.5
-# The rest doubles with each further refused connection in a row, up to this.
+# The ejection doubles with each consecutive refused connection, up to this.
 MAX_CONNECT_EJECTION_S = 4.0
-# No more than this share of a service's targets rests because of failures.
+# Largest fraction of a service's targets that may be ejected at a time.
 MAX_EJECTED_FRACTION = 0.5
-# The rate of a cold target is bounded for each second on the target's clock;
-# the wider window takes up the spread of the way there.
+# The request rate of a cold target is limited in every second by the target's clock;
+# the wider window absorbs variable network delay.
 COLD_WINDOW_S = 1.1
 
 
-# How old an engine's report is when it is read, at most.
+# Largest age of an engine's report when it is read.
 REPORT_LAG_S = 0.6
-# Places that are kept; more are not given between two reports.
+# Upper bound of the placements at a target between two reports.
 MAX_RECENT_PLACEMENTS = 64
 
 NO_LOAD = EngineLoad()
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class ResourceDemand:
-    """What a request takes at a target.
+    """Resources that a request takes at a target.
 
     Attributes:
-      prompt_tokens: prompt tokens to read; 0 for a plain request.
-      memory_tokens: memory for the prompt and the expected output.
+      prompt_tokens: prompt tokens to prefill; 0 for a plain request.
+      memory_tokens: KV cache for the prompt and the expected output.
     """
 
     prompt_tokens: int = 0
@@ -53,22 +53,23 @@
 
 @attrs.define(eq=False)
 class Target:
-    """One start of an engine or plain service.
+    """One incarnation of an engine or plain service.
 
     Attributes:
-      info: what the list says of it.
-      requests: this entry's requests under way there.
-      reserved_tokens: memory that they and their copies are expected to need.
-      prefill_tokens: prompt tokens of those without a first event.
-      remote_load: the same of the other entries, as last told.
-      draining_since_s: when this VM learnt that it is draining; None before.
-      ejected_until_s: until when it gets nothing because of failures.
+      info: its entry in the platform's list.
       health: outcomes of this entry's requests.
-      report: what the engine said last; None where nobody asks.
-      refused_connections: how often in a row no connection came about.
-      is_replaced: whether another target has its address.
-      send_times_s: when this entry sent its last requests there.
-      recent_placements: when places were given here, with the memory of each.
+      requests: this entry's requests in flight.
+      reserved_tokens: KV cache reserved for them and for copies of runs.
+      prefill_tokens: prompt tokens of those without a first event.
+      remote_load: load of the other entries, as last reported.
+      draining_since_s: when this process learnt that it drains; None before.
+      ejected_until_s: end of its ejection.
+      listed: whether the platform's list has it.
+      report: its last load report; None without one.
+      refused_connections: consecutive connection failures.
+      is_replaced: whether another target answers at its address.
+      send_times_s: when this process recently sent it requests.
+      recent_placements: time and reserved KV cache of its recent placements.
     """
 
     info: EngineInfo
@@ -90,16 +91,16 @@
 
     @property
     def total_requests(self) -> int:
-        """Requests of all entries."""
+        """Requests in flight from all entries."""
         return self.requests + self.remote_load.requests
 
     @property
     def total_reserved_tokens(self) -> int:
-        """Memory reserved by all entries, or in use if that is more."""
+        """KV cache reserved by all entries, or in use if that is more."""
         reserved = self.reserved_tokens + self.remote_load.reserved_tokens
         if self.report is None:
             return reserved
-        # The report does not hold the places that were given since.
+        # The report lacks the placements made since it was taken.
         as_of_s = self.report.read_s - REPORT_LAG_S
         since = sum(
             tokens for time_s, tokens in self.recent_placements if time_s > as_of_s
@@ -108,25 +109,25 @@
 
     @property
     def total_prefill_tokens(self) -> int:
-        """Prompt tokens without a first event of all entries."""
+        """Prompt tokens without a first event from all entries."""
         return self.prefill_tokens + self.remote_load.prefill_tokens
 
     def reserve(self, demand: ResourceDemand) -> None:
-        """Count a request as under way here."""
+        """Count a request as in flight."""
         self.requests += 1
         self.reserved_tokens += demand.memory_tokens
         self.prefill_tokens += demand.prompt_tokens
 
     def note_prefill_done(self, demand: ResourceDemand) -> None:
-        """Count the prompt of a request as read."""
+        """Count the prompt of a request as prefilled."""
         self.prefill_tokens -= demand.prompt_tokens
 
     def release(self, demand: ResourceDemand, *, prefill_done: bool = False) -> None:
-        """Count a request as ended.
+        """Undo `reserve` when a request has ended.
 
         Args:
-          demand: what it took.
-          prefill_done: whether its prompt was counted as read.
+          demand: what was reserved.
+          prefill_done: whether `note_prefill_done` was called for it.
         """
         self.requests -= 1
         self.reserved_tokens -= demand.memory_tokens
@@ -134,11 +135,11 @@
             self.prefill_tokens -= demand.prompt_tokens
 
     def reserve_copy(self, demand: ResourceDemand) -> None:
-        """Count the copy of a run."""
+        """Reserve KV cache for a copy of a run."""
         self.reserved_tokens += demand.memory_tokens
 
     def release_copy(self, demand: ResourceDemand) -> None:
-        """Count the copy of a run as freed."""
+        """Undo `reserve_copy`."""
         self.reserved_tokens -= demand.memory_tokens
 
     def load(self) -> EngineLoad:
@@ -147,11 +148,11 @@
 
 
 class TargetTable:
-    """All targets of the platform's list.
+    """The targets of the platform's list.
 
     Args:
       timer: the timer service.
-      view: what the entry knows of the fleet.
+      view: the entry's view of the fleet.
       data_centre: where the entry runs.
 
     Attributes:
@@ -167,12 +168,12 @@
         self.watchers: set[Callable[[], None]] = set()
 
     def notify(self) -> None:
-        """Call those who watch the targets, after a change or some time."""
+        """Call the watchers; done after a change of the targets and periodically."""
         for watcher in list(self.watchers):
             watcher()
 
     def update_engines(self) -> None:
-        """Take the engines of the view."""
+        """Apply the engine list of the view."""
         for target in self._targets.values():
             target.listed = False
         for incarnation, info in self._view.engines.items():
@@ -194,7 +195,7 @@
                 self._by_service.setdefault(target.info.service, []).append(target)
 
     def update_loads(self, remote_load: dict[str, EngineLoad]) -> None:
-        """Take the loads of the other entries, by incarnation."""
+        """Apply the load of the other entries, by incarnation."""
         for incarnation, target in self._targets.items():
             target.remote_load = remote_load.get(incarnation, NO_LOAD)
 
@@ -203,11 +204,12 @@
         report_of: Callable[[str], EngineReport | None],
         unresponsive: Container[str],
     ) -> None:
-        """Take the engines' own reports, by incarnation.
+        """Apply the engines' load reports.
 
         Args:
-          report_of: returns the report of a incarnation; None without one.
-          unresponsive: incarnations that did not answer when they were asked.
+          report_of: returns the report of an incarnation; None without one.
+          unresponsive: incarnations that did not answer the last request for a report;
+            they are ejected.
         """
         now_s = self._timer.now_s()
         for incarnation, target in self._targets.items():
@@ -216,7 +218,7 @@
                 target.ejected_until_s = now_s + CONNECT_EJECTION_S
 
     def get_or_add(self, info: EngineInfo) -> Target:
-        """Return the target of an engine; the list may not have it here yet."""
+        """Return an engine's target, adding it if the local list lacks it."""
         target = self._targets.get(info.incarnation)
         if target is None:
             target = self._targets[info.incarnation] = Target(info, HealthRecord())
@@ -224,7 +226,7 @@
         return target
 
     def find_all(self, incarnations: Iterable[str]) -> list[Target]:
-        """Return the targets of some incarnations; unknown ones are left out."""
+        """Return the targets of some incarnations; unknown ones are skipped."""
         return [
             self._targets[incarnation]
             for incarnation in incarnations
@@ -232,7 +234,7 @@
         ]
 
     def own_loads(self) -> dict[str, EngineLoad]:
-        """Return this entry's load by incarnation of the engine."""
+        """Return this entry's load by incarnation, without idle targets."""
         return {
             incarnation: target.load()
             for incarnation, target in self._targets.items()
@@ -240,7 +242,7 @@
         }
 
     def accepts_requests(self, target: Target) -> bool:
-        """Tell whether new requests may go to a target at all."""
+        """Tell whether new requests may be sent to a target, ejected or not."""
         info = target.info
         return (
             target.listed
@@ -250,9 +252,9 @@
         )
 
     def candidates(self, service: str, excluded: Iterable[Target]) -> list[Target]:
-        """Return the targets that may have a request now.
+        """Return the targets of a service that a request may be placed at.
 
-        Targets that rest come in only where nothing else is left.
+        Ejected targets are returned only if no other target is left.
         """
         excluded_ids = set(map(id, excluded))
         now_s = self._timer.now_s()
@@ -265,7 +267,7 @@
         return healthy or accepting
 
     def metric_lines(self) -> list[str]:
-        """Return the metrics' lines on how many targets are in each state."""
+        """Return the number of targets in each state as metric lines."""
         counts = dict.fromkeys(("ready", "evacuated", "draining", "resting"), 0)
         now_s = self._timer.now_s()
         for target in self._targets.values():
@@ -281,13 +283,18 @@
         ]
 
     def has_targets(self, service: str) -> bool:
-        """Tell whether any target of a service may have work."""
+        """Tell whether any target of a service accepts requests."""
         return any(map(self.accepts_requests, self._by_service.get(service, [])))
 
-    # Rates.
+    # Rate limits.
 
     def may_send_now(self, target: Target, allowance: float) -> bool:
-        """Tell whether one more request stays within an allowance a second."""
+        """Tell whether one more request stays within a limit.
+
+        Args:
+          target: where it would be sent.
+          allowance: requests per second; below 1, one request in a longer window.
+        """
         now_s = self._timer.now_s()
         sends = target.send_times_s
         window_s = (
@@ -298,17 +305,17 @@
         return len(sends) < max(1, int(allowance))
 
     def note_send(self, target: Target) -> None:
-        """Count a request that is sent now."""
+        """Record a request that is sent now."""
         target.send_times_s.append(self._timer.now_s())
 
     def note_placement(self, target: Target, tokens: int) -> None:
-        """Count memory of a target that was given out now."""
+        """Record KV cache that is reserved at a target now."""
         target.recent_placements.append((self._timer.now_s(), tokens))
 
     # Health.
 
     def eject(self, target: Target, duration_s: float, reason: str) -> None:
-        """Leave a target alone for a time, unless too many rest already."""
+        """Eject a target for a time, unless too many are ejected already."""
         now_s = self._timer.now_s()
         peers = self._by_service.get(target.info.service, [])
         ejected = sum(t.ejected_until_s > now_s for t in peers if t is not target)
@@ -324,7 +331,7 @@
         )
 
     def note_replaced(self, target: Target) -> None:
-        """Leave a target alone for good whose address has another identity."""
+        """Stop using a target whose address now belongs to another one."""
         target.is_replaced = True
         events.emit(
             TARGET_EJECTED,
@@ -335,19 +342,19 @@
         )
 
     def note_no_connection(self, target: Target, reason: str) -> None:
-        """Leave a target alone for a time that cannot be connected to."""
+        """Eject a target that cannot be connected to."""
         ejection_s = CONNECT_EJECTION_S * 2**target.refused_connections
         target.refused_connections += 1
         self.eject(target, min(ejection_s, MAX_CONNECT_EJECTION_S), reason)
 
     def note_overdue(self, target: Target) -> None:
-        """Count an answer that did not come in good time."""
+        """Count an overdue response; eject the target after several in a row."""
         ejection_s = target.health.note_overdue()
         if ejection_s > 0:
             self.eject(target, ejection_s, "answers are overdue")
 
     def note_outcome(self, target: Target, *, good: bool) -> None:
-        """Count an answer; a target that fails far more than its peers rests."""
+        """Count a response; eject the target if it is an outlier among its peers."""
         target.refused_connections = 0
         target.health.record_response(good=good)
         peers = [
--- a/endivesill/forwarding/waiting.py
+++ b/endivesill/forwarding/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room at a target."""
+"""Admission of requests to targets, with a queue for each service."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 __all__ = ["AdmissionQueue", "NoRoomError", "PlacementRequest"]
 
-# Waiting requests for each target, beyond which a new one is refused at once.
+# Queue length for each target of a service; requests beyond it are refused.
 MAX_QUEUED_PER_TARGET = 16
-# How long a service counts as busy after a request had to wait; about the time
-# in which half of the generations under way end.
+# How long a service counts as congested after a request was queued; about the time in
+# which half of the running generations end.
 CONGESTED_FOR_S = 4.0
-# The longest generations count for no more than this, in seconds of one engine, so
-# that they are served about as often as others; a mean one takes 1 s.
+# Upper bound of a request's cost in the fair queue, in seconds of one engine. It keeps
+# the longest generations from waiting much longer than others; the mean cost is 1 s.
 MAX_COST_S = 1.5
-# How long a request waits at most while its service has no target at all.
+# Longest wait while a service has no target at all.
 NO_TARGET_WAIT_S = 0.25
 
 
 class NoRoomError(errors.EndivesillError):
-    """No target can take the request in its time; it was not sent.
+    """No target had capacity in time; the request was not sent.
 
     Attributes:
-      reason: why, in a few words for logs and metrics.
-      retry_after_s: when to come back; None if that is not known.
+      reason: short reason for logs and metrics.
+      retry_after_s: when to retry; None if unknown.
     """
 
     def __init__(self, reason: str, retry_after_s: float | None = None) -> None:
@@ -46,16 +46,16 @@
 
 @attrs.define(eq=False)
 class PlacementRequest:
-    """A request for a place at a target.
+    """A request for a placement.
 
     Attributes:
-      service: the service that it goes to.
-      demand: what it takes.
+      service: the service to place it at.
+      demand: the resources that it takes.
       priority: 0 is the most urgent.
-      wait_until_s: until when it is worth to wait.
-      excluded: targets that it does not go to.
-      was_refused: whether its caller was refused before.
-      organisation: who sends it.
+      wait_until_s: when to stop waiting.
+      excluded: targets that must not be chosen.
+      was_refused: whether it is a retry after a refusal.
+      organisation: the organisation that sends it.
     """
 
     service: Service
@@ -68,12 +68,12 @@
 
     @property
     def flow(self) -> Flow:
-        """Whose share of the engine time it takes."""
+        """The flow whose share of engine time it uses."""
         return Flow(self.organisation, self.was_refused)
 
     @property
     def cost(self) -> float:
-        """The engine time that counts against its flow."""
+        """Engine time charged to its flow, in seconds, up to `MAX_COST_S`."""
         return min(MAX_COST_S, engine_time_s(self.service, self.demand))
 
 
@@ -84,16 +84,16 @@
 
 
 class AdmissionQueue:
-    """Gives each request a target, at once or after a wait.
+    """Assigns requests to targets, queueing them while no target has capacity.
 
     Args:
       timer: the timer service.
       table: the targets.
-      cold_allowance: returns the requests a second that a cold target of a
-        service may get from here.
-      on_placed: called with the need and the target of each place that is given.
-      random_source: draws among equal targets.
-      new_queue: returns the queue of a service.
+      cold_allowance: returns the requests per second that this process may send to a
+        cold target of a service.
+      on_placed: called with the request and the target of each placement.
+      random_source: breaks ties between targets.
+      new_queue: creates the queue of a service.
     """
 
     def __init__(
@@ -115,21 +115,21 @@
         self._last_queued_s: dict[str, float] = {}
 
     def is_congested(self, service: str) -> bool:
-        """Tell whether requests to a service have had to wait lately."""
+        """Tell whether requests to a service were queued recently."""
         last_queued_s = self._last_queued_s.get(service, float("-inf"))
         return self._timer.now_s() - last_queued_s < CONGESTED_FOR_S
 
     def count_ahead(self, request: PlacementRequest) -> int:
-        """Return how many wait that go before a request."""
+        """Return how many queued requests would be served before a request."""
         queue = self._queues.get(request.service.name)
         return queue.count_ahead(_sort_key(queue, request)) if queue else 0
 
     def queue_length(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests of all services."""
         return sum(map(len, self._queues.values()))
 
     def try_place(self, request: PlacementRequest) -> Target | None:
-        """Give a place at a target, if one has room now."""
+        """Place a request if a target has capacity now, else return None."""
         service = request.service
         targets = self._table.candidates(service.name, request.excluded)
         if service.cold_requests_per_s > 0:
@@ -143,10 +143,10 @@
         return target
 
     async def place(self, request: PlacementRequest) -> Target:
-        """Return a target that has given a place to a request.
+        """Place a request, waiting in the queue if necessary.
 
         Raises:
-          NoRoomError: none will have room in time.
+          NoRoomError: the queue is full, or no target had capacity in time.
         """
         service = request.service.name
         queue = self._queues.get(service)
@@ -181,7 +181,7 @@
             queue.remove(item)
 
     def admit_waiting(self) -> None:
-        """Give places to waiting requests, the most urgent first."""
+        """Place queued requests in order until no target has capacity."""
         for queue in self._queues.values():
             while queue:
                 waiter = queue.peek()
