--- a/endivesill/fleet/__init__.py
+++ b/endivesill/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The whole fleet as its VMs know it: configuration, engines, shared load."""
+"""Fleet state shared by its VMs: configuration, engine list, load and shares."""
--- a/endivesill/fleet/departures.py
+++ b/endivesill/fleet/departures.py
@@ -1,8 +1,7 @@
-"""Notices engines that are about to leave from their health checks.
+"""Detects engines that are about to leave from their health checks.
 
-The platform's list and the engines' reports are up to a second old, which is half
-of the notice that an engine has when it is taken away. A health check tells it at
-once.
+An engine that is taken away gets a notice of 1.5 s or more. The platform's list and the
+engines' load reports lag by up to a second of it, while a health check fails at once.
 """
 
 from __future__ import annotations
@@ -21,39 +20,39 @@
 
 __all__ = ["DepartureDetector", "HealthSource"]
 
-# Period of the checks of one engine. Notices last 1.5 s and more, and each check
-# takes a slot of the engine for a moment.
+# Interval between the checks of one engine: notices last 1.5 s or more, and each check
+# takes a slot of the engine briefly.
 CHECK_PERIOD_S = 0.2
-# How long a failed check counts by itself. By then the list and the report of an
-# engine that leaves show it: they are 1.0 s and 0.7 s old, and read every 0.35 s.
+# How long a failing check counts on its own. By then the list and the report show the
+# departure: they lag by 1.0 s and 0.7 s and are read every 0.35 s or less.
 CONFIRMED_AFTER_S = 1.5
 
 
 class HealthSource:
-    """Base of what checks the health of one engine."""
+    """Base of health checks of one engine."""
 
     async def is_healthy(self, engine: EngineInfo) -> bool:
-        """Tell whether an engine takes work, by its own word.
+        """Return whether an engine accepts work.
 
         Raises:
-          UnavailableError: it does not say.
+          UnavailableError: there is no valid response.
         """
         raise NotImplementedError
 
 
 class DepartureDetector:
-    """The engines that say that they take no work.
+    """Tracks engines whose health check shows that they are about to leave.
 
-    A new engine may be taken away before its first check, so that a failed check
-    counts at once. It tells nothing in a service in which no engine has ever passed
-    one: there it may mean something else. Nor does it for long if neither the list
-    nor the engine's report confirms it: a check may fail at an engine that serves.
+    A single failed check counts, since a new engine may be taken away before its first
+    check. Failures are ignored in services in which no engine has passed a check so
+    far, as their check may mean something else. A failure expires if neither the list
+    nor the engine's report confirms it, since a check may fail at an engine that works.
 
     Args:
       timer: the timer service.
       source: checks one engine.
       engines: returns the engines to check; none while this VM does not lead.
-      changed: called when the engines that leave have changed.
+      on_change: called when the set of leaving engines has changed.
     """
 
     def __init__(
@@ -61,24 +60,24 @@
         timer: TimerService,
         source: HealthSource,
         engines: Callable[[], Iterable[EngineInfo]],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._timer = timer
         self._source = source
         self._engines = engines
-        self._changed = changed
+        self._on_change = on_change
         self._services_passed: set[str] = set()
         self._reported: frozenset[str] = frozenset()
-        # When the check of an engine began to fail.
+        # Start of the current series of failures, by incarnation.
         self._failing_since_s: dict[str, float] = {}
         self._unconfirmed: set[str] = set()
         self._unresponsive: set[str] = set()
 
     def leaving(self) -> frozenset[str]:
-        """Return the incarnations that no longer take work."""
+        """Return the incarnations that count as leaving."""
         since_s = self._timer.now_s() - CONFIRMED_AFTER_S
         return frozenset(
-            b for b, at_s in self._failing_since_s.items() if at_s > since_s
+            key for key, at_s in self._failing_since_s.items() if at_s > since_s
         )
 
     async def run(self) -> None:
@@ -86,21 +85,21 @@
         while True:
             checks = map(self._check, filter(self._needs_check, self._engines()))
             await asyncio.gather(*checks)
-            self._forget_all_but({engine.incarnation for engine in self._engines()})
+            self._keep_only({engine.incarnation for engine in self._engines()})
             leaving = self.leaving()
             if leaving != self._reported:
                 self._reported = leaving
-                self._changed()
+                self._on_change()
             await self._timer.sleep(CHECK_PERIOD_S)
 
-    def _forget_all_but(self, incarnations: set[str]) -> None:
-        for gone in self._failing_since_s.keys() - incarnations:
-            del self._failing_since_s[gone]
+    def _keep_only(self, incarnations: set[str]) -> None:
+        for unlisted in self._failing_since_s.keys() - incarnations:
+            del self._failing_since_s[unlisted]
         self._unresponsive &= incarnations
         self._unconfirmed &= incarnations
 
     def _needs_check(self, engine: EngineInfo) -> bool:
-        """Tell whether a check can tell more than the list does."""
+        """Tell whether a check can add to what the list shows."""
         return not engine.is_draining or engine.incarnation in self.leaving()
 
     async def _check(self, engine: EngineInfo) -> None:
--- a/endivesill/fleet/engine_list.py
+++ b/endivesill/fleet/engine_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of engines while this VM leads the control group."""
+"""Reads the platform's list of engines while this VM leads."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     "list_to_message",
 ]
 
-# Notices of engines that leave within two seconds must not wait long.
+# Engines may leave within two seconds of their notice.
 READ_PERIOD_S = 0.25
-# Longest pause between two tries while the list cannot be read.
-FAILED_PERIOD_LIMIT_S = 2.0
+# Upper bound of the backoff while the list cannot be read.
+MAX_BACKOFF_S = 2.0
 
 
 @attrs.frozen
 class EngineListSnapshot:
-    """One reading of the list.
+    """The engines of the list at one time.
 
     Attributes:
-      term: the leader's term in which it was read.
-      number: counts the changed readings of a term.
-      read_s: when it was read, on the reader's clock.
+      term: term of the leader that read the list.
+      number: counts the changes within a term.
+      read_s: when the list was read, by the reader's clock.
       engines: the engines by incarnation.
     """
 
@@ -43,16 +43,16 @@
 
     @property
     def stamp(self) -> list[int]:
-        """Orders readings; compares with those of other leaders."""
+        """Version `[term, number]`, ordered across leaders."""
         return [self.term, self.number]
 
 
 class EngineListSource:
-    """Base of what reads the whole list of one platform.
+    """Base of readers of a platform's list.
 
     Attributes:
-      min_period_s: time from one reading to the next that the platform's
-        bound on calls allows.
+      min_period_s: least interval between two reads that the platform's rate limit
+        allows.
     """
 
     min_period_s = 0.0
@@ -61,13 +61,13 @@
         """Return all engines.
 
         Raises:
-          UnavailableError: the list could not be read as a whole.
+          UnavailableError: the list could not be read completely.
         """
         raise NotImplementedError
 
 
 def list_to_message(reading: EngineListSnapshot, now_s: float) -> Message:
-    """Return a reading as a JSON object; times of coldness as of now."""
+    """Return a snapshot as JSON, with the remaining cold times as of now."""
     age_s = now_s - reading.read_s
     rows = []
     for engine in reading.engines.values():
@@ -78,14 +78,14 @@
 
 
 class EngineListReader:
-    """Reads the list, one reading at a time.
+    """Reads the list periodically and merges departures into it.
 
     Args:
       timer: the timer service.
-      source: where it is read from.
+      source: reads the list.
 
     Attributes:
-      current: the last reading, or None before the first.
+      current: the newest snapshot; None before the first.
     """
 
     def __init__(self, timer: TimerService, source: EngineListSource) -> None:
@@ -102,18 +102,17 @@
         leaving: Callable[[], frozenset[str]],
         with_notice: Callable[[], frozenset[str]],
     ) -> None:
-        """Take what engines say of their end themselves.
+        """Set the sources of departures that the list does not show yet.
 
         Args:
-          leaving: returns the incarnations that no longer take work; the list
-            shows them later.
-          with_notice: returns the incarnations that know when they will end.
+          leaving: returns the incarnations that no longer accept work.
+          with_notice: returns the incarnations whose shutdown time is set.
         """
         self._leaving = leaving
         self._with_notice = with_notice
 
     async def read(self, term: int) -> bool:
-        """Read the list once; return whether the engines in it have changed."""
+        """Read the list once; return whether its engines have changed."""
         try:
             self._listed = await self._source.read()
         except errors.UnavailableError as error:
@@ -128,7 +127,7 @@
         return self._apply(self._merged(), term, read_s)
 
     def apply_departures(self) -> bool:
-        """Merge the departures into the last reading; return whether it changed."""
+        """Merge departures into the last list read; return whether it changed."""
         if self.current is None:
             return False
         return self._apply(self._merged(), self.current.term, self.current.read_s)
@@ -162,14 +161,14 @@
         return changed
 
     async def wait_until_due(self) -> None:
-        """Wait until the next reading is due."""
-        factor = min(2**self._failures, FAILED_PERIOD_LIMIT_S / READ_PERIOD_S)
+        """Sleep until the next read is due."""
+        factor = min(2**self._failures, MAX_BACKOFF_S / READ_PERIOD_S)
         period_s = max(READ_PERIOD_S * factor, self._source.min_period_s)
         await self._timer.sleep(period_s)
 
 
 def _comparable(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
-    """Return the engines without what changes by the passing of time alone."""
+    """Return the engines without the remaining cold time, which changes by itself."""
     return {
         incarnation: attrs.evolve(engine, cold_s=1.0 if engine.cold_s > 0 else 0.0)
         for incarnation, engine in engines.items()
--- a/endivesill/fleet/load.py
+++ b/endivesill/fleet/load.py
@@ -1,4 +1,4 @@
-"""The load that each entry puts on each engine, as the leader adds it up."""
+"""Load of each entry on each engine, and its totals at the leader."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     "loads_to_rows",
 ]
 
-# An entry that has told nothing for this long is taken to have no load.
+# An entry without a report for this long counts as idle.
 REPORT_TTL_S = 2.0
-# A place that was granted counts for this long until its entry reports it; an
-# answer and the next report take far less.
+# How long a grant counts until its entry reports it; well above the time that the reply
+# and the next report take.
 GRANT_TTL_S = 1.0
 
 
 @attrs.frozen
 class EngineLoad:
-    """What entries have under way at one engine.
+    """Load of entries on one engine.
 
     Attributes:
-      requests: requests that were sent and have not ended.
-      reserved_tokens: engine memory that they are expected to need.
+      requests: requests in flight.
+      reserved_tokens: KV cache reserved for them and for copies of runs.
       prefill_tokens: prompt tokens of those without a first event.
     """
 
@@ -48,7 +48,7 @@
 
 
 def loads_to_rows(loads: dict[str, EngineLoad]) -> dict[str, list[int]]:
-    """Return loads as JSON: `[requests, reserved tokens, unread tokens]`."""
+    """Return loads as JSON: `[requests, reserved tokens, prefill tokens]`."""
     return {
         incarnation: [load.requests, load.reserved_tokens, load.prefill_tokens]
         for incarnation, load in loads.items()
@@ -56,13 +56,13 @@
 
 
 def loads_from_rows(rows: dict[str, list[int]]) -> dict[str, EngineLoad]:
-    """Return the loads of what `loads_to_rows` gave."""
+    """Return the loads of rows from `loads_to_rows`."""
     return {incarnation: EngineLoad(*row) for incarnation, row in rows.items()}
 
 
 @attrs.frozen
 class _Grant:
-    """A place that was granted and is not reported yet."""
+    """A placement that its entry has not reported yet."""
 
     number: int
     incarnation: str
@@ -72,7 +72,7 @@
 
 @attrs.define
 class _EntryLoads:
-    """What is known of one entry."""
+    """State of one entry."""
 
     updated_s: float = float("-inf")
     loads: dict[str, EngineLoad] = attrs.Factory(dict)
@@ -81,32 +81,32 @@
 
 
 class FleetLoads:
-    """The last report of each entry and the places granted since."""
+    """The newest load report of each entry, with the grants made since."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _EntryLoads] = {}
 
     def record_report(
-        self, entry: str, rows: dict[str, list[int]], grants_seen: int, now_s: float
+        self, entry_id: str, rows: dict[str, list[int]], grants_seen: int, now_s: float
     ) -> None:
-        """Take an entry's report.
+        """Replace an entry's load.
 
         Args:
-          entry: names one start of an entry.
-          rows: `[requests, reserved tokens, unread tokens]` by incarnation.
-          grants_seen: number of the last grant that the entry has received.
+          entry_id: id of one start of an entry.
+          rows: `[requests, reserved tokens, prefill tokens]` by incarnation.
+          grants_seen: number of the last grant included in the rows.
           now_s: the time.
         """
-        entry_loads = self._entries.setdefault(entry, _EntryLoads())
+        entry_loads = self._entries.setdefault(entry_id, _EntryLoads())
         entry_loads.updated_s = now_s
         entry_loads.loads = loads_from_rows(rows)
         entry_loads.grants = [g for g in entry_loads.grants if g.number > grants_seen]
-        # After a change of the leader the numbers go on from the entry's.
+        # A new leader continues the numbering that the entry has seen.
         entry_loads.last_grant = max(entry_loads.last_grant, grants_seen)
 
-    def grant(self, entry: str, loads: dict[str, EngineLoad], now_s: float) -> int:
-        """Count a place that is granted to an entry; return the grant's number."""
-        entry_loads = self._entries.setdefault(entry, _EntryLoads(now_s))
+    def grant(self, entry_id: str, loads: dict[str, EngineLoad], now_s: float) -> int:
+        """Add the load of a placement to an entry; return the number of the grant."""
+        entry_loads = self._entries.setdefault(entry_id, _EntryLoads(now_s))
         entry_loads.last_grant += 1
         expires_s = now_s + GRANT_TTL_S
         for incarnation, load in loads.items():
@@ -116,12 +116,12 @@
         return entry_loads.last_grant
 
     def totals(self, now_s: float, excluding: str = "") -> dict[str, EngineLoad]:
-        """Return the load of all entries, but one if named, by incarnation."""
+        """Return the load of all entries by incarnation, without entry `excluding`."""
         by_incarnation: dict[str, list[EngineLoad]] = collections.defaultdict(list)
-        for entry, entry_loads in list(self._entries.items()):
+        for entry_id, entry_loads in list(self._entries.items()):
             if now_s - entry_loads.updated_s > REPORT_TTL_S:
-                del self._entries[entry]
-            elif entry != excluding:
+                del self._entries[entry_id]
+            elif entry_id != excluding:
                 for incarnation, load in entry_loads.loads.items():
                     by_incarnation[incarnation].append(load)
                 for grant in entry_loads.grants:
@@ -132,6 +132,6 @@
             for incarnation, loads in by_incarnation.items()
         }
 
-    def remove(self, entry: str) -> None:
-        """Drop an entry that stops."""
-        self._entries.pop(entry, None)
+    def remove(self, entry_id: str) -> None:
+        """Remove an entry that stops."""
+        self._entries.pop(entry_id, None)
--- a/endivesill/fleet/model.py
+++ b/endivesill/fleet/model.py
@@ -1,4 +1,4 @@
-"""What operators and the platform say of routes, services and engines."""
+"""Data model of routes, services, organisations and engines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """How the requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """One service of a route and its weight among the others."""
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -41,20 +41,20 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of a host and path prefix go.
+    """Routing rule for one host and path prefix.
 
     Attributes:
-      name: its name.
+      name: unique name.
       host: the host, in lower case.
       path_prefix: begins and ends with a slash.
-      kind: what may be repeated.
-      timeout_s: longest time that a request may be under way.
-      target_latency_s: time within which an answer is on time.
+      kind: how requests may be retried.
+      timeout_s: longest duration of a request.
+      target_latency_s: target for the start of a response.
       priority: 0 is the most urgent.
-      weighted_services: the services that share the requests.
-      max_attempts: how many targets one request may be sent to.
-      is_public: whether requests need no key.
-      gap_target_s: longest pause between two events that is on time.
+      weighted_services: the services that requests are split among.
+      max_attempts: how many targets may run one request.
+      is_public: whether requests need no API key.
+      gap_target_s: target for the longest gap between two events.
     """
 
     name: str
@@ -72,14 +72,14 @@
 
 @attrs.frozen
 class ModelEngineSpec:
-    """What the model engines of a service have.
+    """Properties of the model engines of a service.
 
     Attributes:
-      slots: requests that run at once.
-      capacity_tokens: memory for prompts and outputs.
-      event_tokens: output tokens of one event.
-      has_backups: whether an engine copies its runs to another one.
-      has_moves: whether a run can be moved on request.
+      slots: requests that run concurrently.
+      capacity_tokens: size of the KV cache.
+      event_tokens: output tokens per event.
+      has_backups: whether engines copy their runs to another engine as they go.
+      has_moves: whether engines copy a run on request.
     """
 
     slots: int
@@ -91,15 +91,15 @@
 
 @attrs.frozen
 class Service:
-    """A group of like targets.
+    """A group of interchangeable targets.
 
     Attributes:
-      name: its name.
-      health_path: where a target tells whether it takes work.
+      name: unique name.
+      health_path: path of the health check.
       max_connections: connections that one target accepts from all callers.
-      cold_start_s: how long a target is cold after a start.
-      cold_requests_per_s: what a cold target bears.
-      model_engine: what its model engines have; None for a plain service.
+      cold_start_s: how long a target is cold after its start.
+      cold_requests_per_s: request rate that a cold target sustains.
+      model_engine: properties of its model engines; None for a plain service.
     """
 
     name: str
@@ -112,12 +112,12 @@
 
 @attrs.frozen
 class Organisation:
-    """Who sends requests.
+    """An organisation that sends requests.
 
     Attributes:
-      name: its name.
+      name: unique name.
       keys: its API keys.
-      priority: overrides the route's; None if it has none.
+      priority: overrides that of the route; None for no override.
     """
 
     name: str
@@ -127,17 +127,17 @@
 
 @attrs.frozen
 class FleetConfiguration:
-    """One version of everything that operators have decided.
+    """One version of the operators' configuration.
 
     Attributes:
-      version: higher ones replace lower ones.
+      version: increases with each change.
       routes: all routes.
       services: services by name.
-      organisations: all organisations; empty if requests need no key.
-      header_bytes: bound of a request's head.
-      body_bytes: bound of a request's body.
-      header_timeout_s: bound of the time in which a head must come.
-      idle_timeout_s: how long an idle caller's connection stays open.
+      organisations: all organisations; if empty, no request needs a key.
+      header_bytes: limit for the head of a request.
+      body_bytes: limit for the body of a request.
+      header_timeout_s: limit for the time until a head is complete.
+      idle_timeout_s: how long idle connections of callers stay open.
     """
 
     version: int
@@ -152,19 +152,19 @@
 
 @attrs.frozen
 class EngineInfo:
-    """A target as the platform's list has it.
+    """A target in the platform's list.
 
     Attributes:
-      identity: its name, which it checks on requests that expect it.
-      incarnation: names one start of it; an identity may be started again.
-      service: the service it belongs to.
-      address: its HOST:PORT; may belong to another target later.
+      identity: its name; it rejects requests that expect another one.
+      incarnation: identifies one start, since an identity may be started again.
+      service: the service that it belongs to.
+      address: its HOST:PORT, which may later be reused by another target.
       data_centre: where it runs.
-      slots: requests that run at once.
+      slots: requests that run concurrently.
       is_draining: whether it is about to leave.
-      cold_s: how long it stays cold from when the list was read.
-      has_notice: whether it knows when it will end; one that drains without
-        notice goes on until its requests have ended.
+      cold_s: remaining cold time when the list was read.
+      has_notice: whether its shutdown time is set; a target that drains without notice
+        waits for its requests.
     """
 
     identity: str
--- a/endivesill/fleet/packing.py
+++ b/endivesill/fleet/packing.py
@@ -1,7 +1,7 @@
-"""Packs a configuration for its way to the entries.
+"""Compresses configurations for the transfer to entries.
 
-A configuration of a thousand routes is half a megabyte of much the same text, and
-an entry's link may carry half a megabyte a second.
+A configuration of 1,000 routes is half a megabyte of repetitive text, and the link of
+an entry may carry only half a megabyte per second.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 __all__ = ["pack_document", "unpack_document"]
 
-# Fast, and most of what a higher level gives.
+# Level 1 is fast, and higher levels save little more.
 LEVEL = 1
 
 
 def pack_document(document: Any) -> str:
-    """Return a JSON value as short text."""
+    """Return a JSON value as compressed base64 text."""
     data = json.dumps(document, separators=(",", ":")).encode()
     return base64.b64encode(zlib.compress(data, LEVEL)).decode("ascii")
 
@@ -29,7 +29,7 @@
     """Return the JSON value of a packed text.
 
     Raises:
-      PeerMessageError: the text cannot be read.
+      PeerMessageError: the text is invalid.
     """
     try:
         return json.loads(zlib.decompress(base64.b64decode(text)))
--- a/endivesill/fleet/reports.py
+++ b/endivesill/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Reads what engines report of their memory and of their end."""
+"""Polls engines for load reports."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 __all__ = ["REPORT_TIMEOUT_S", "EngineReport", "EngineReports", "ReportSource"]
 
-# Reports are half a second old as they come, so that more of them tell little.
+# Reports are up to 0.5 s old on arrival, so reading them more often gains little.
 READ_PERIOD_S = 0.35
 REPORT_TIMEOUT_S = 0.5
-# A report older than this says nothing any more.
+# An older report is ignored.
 REPORT_TTL_S = 2.0
 
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself.
+    """Load report of an engine.
 
     Attributes:
-      used_tokens: memory that cannot be freed.
-      queued_requests: requests that wait in the engine.
+      used_tokens: KV cache in use that cannot be freed.
+      queued_requests: requests queued in the engine.
       is_leaving: whether it is about to leave.
-      has_notice: whether it knows when it will end.
-      read_s: when it was read.
+      has_notice: whether its shutdown time is set.
+      read_s: when the report was read.
     """
 
     used_tokens: int
@@ -41,24 +41,24 @@
 
 
 class ReportSource:
-    """Base of what reads the report of one engine."""
+    """Base of readers of one engine's report."""
 
     async def read(self, engine: EngineInfo) -> EngineReport:
         """Return an engine's report within `REPORT_TIMEOUT_S`.
 
         Raises:
-          UnavailableError: there is none.
+          UnavailableError: the engine sent no valid report.
         """
         raise NotImplementedError
 
 
 class EngineReports:
-    """The last report of each engine.
+    """The newest report of each engine.
 
     Args:
       timer: the timer service.
       source: reads one report.
-      engines: returns the engines to ask; none while this VM does not lead.
+      engines: returns the engines to poll; none while this VM does not lead.
     """
 
     def __init__(
@@ -74,32 +74,32 @@
         self._unresponsive: set[str] = set()
 
     def latest(self, incarnation: str) -> EngineReport | None:
-        """Return the report of one start of an engine, unless it is old."""
+        """Return the report of an incarnation; None if there is no recent one."""
         report = self._reports.get(incarnation)
         if report is None or self._timer.now_s() - report.read_s > REPORT_TTL_S:
             return None
         return report
 
     def unresponsive(self) -> frozenset[str]:
-        """Return the incarnations that did not answer the last question."""
+        """Return the incarnations that did not answer the last poll."""
         return frozenset(self._unresponsive)
 
     def leaving(self) -> frozenset[str]:
-        """Return the incarnations of the engines that say that they leave."""
-        return frozenset(b for b, r in self._reports.items() if r.is_leaving)
+        """Return the incarnations that report that they are about to leave."""
+        return frozenset(key for key, r in self._reports.items() if r.is_leaving)
 
     def with_notice(self) -> frozenset[str]:
-        """Return the incarnations of the engines that know when they will end."""
-        return frozenset(b for b, r in self._reports.items() if r.has_notice)
+        """Return the incarnations that report their shutdown time."""
+        return frozenset(key for key, r in self._reports.items() if r.has_notice)
 
     async def run(self) -> None:
-        """Read reports until cancelled."""
+        """Poll the engines until cancelled."""
         while True:
             engines = list(self._engines())
             await asyncio.gather(*(self._read(engine) for engine in engines))
             incarnations = {engine.incarnation for engine in engines}
             self._reports = {
-                b: r for b, r in self._reports.items() if b in incarnations
+                key: r for key, r in self._reports.items() if key in incarnations
             }
             self._unresponsive &= incarnations
             await self._timer.sleep(READ_PERIOD_S)
--- a/endivesill/fleet/shares.py
+++ b/endivesill/fleet/shares.py
@@ -1,8 +1,8 @@
-"""Shares of the fleet-wide allowances, lent to the entries by one lender.
+"""Leases on shares of the fleet-wide limits.
 
-Channels to a target, requests to a cold target and repeats are bounded for all
-entries together. The leader of the control VMs lends each entry a share of all
-of them; a share ends by itself, so that the sum stays under 1 whoever dies.
+Connections to a target, requests to a cold target and retries are limited for all
+entries together. The leader leases each entry a share of all these limits. Leases
+expire, so that the shares sum to at most 1 whichever process fails.
 """
 
 from __future__ import annotations
@@ -11,68 +11,70 @@
 
 __all__ = ["LEASE_DURATION_S", "ShareLease", "ShareAllocator"]
 
-# Over two elections of the control VMs, so that a change of the leader does not
-# stop work that needs a share.
+# Longer than two elections of the control VMs, so that a change of the leader does not
+# interrupt work that needs a share.
 LEASE_DURATION_S = 4.0
 
 
 @attrs.frozen
 class ShareLease:
-    """A share that an entry holds.
+    """A share held by an entry.
 
     Attributes:
-      share: the part of each allowance, from 0 to 1.
-      expires_s: when it ends, on the clock of whoever holds this object.
+      share: fraction of each limit, from 0 to 1.
+      expires_s: when it expires, by the clock of the process that has this object.
     """
 
     share: float
     expires_s: float
 
     def share_at(self, now_s: float) -> float:
-        """Return the share that may be used at a time."""
+        """Return the share that may be used at a time; 0 once it has expired."""
         return self.share if now_s < self.expires_s else 0.0
 
 
 class ShareAllocator:
-    """What a lender has lent.
+    """Leases granted by one leader.
 
     Args:
-      now_s: when the lender took over. Loans of the lender before are unknown
-        to it until they have ended, but for what their holders report.
+      now_s: start of the leader's term. For one lease duration, leases of the previous
+        leader may be in force, so entries keep just the share that they report.
     """
 
     def __init__(self, now_s: float) -> None:
         self._previous_expired_s = now_s + LEASE_DURATION_S
         self._leases: dict[str, ShareLease] = {}
 
-    def renew(self, entry: str, held_share: float, now_s: float) -> float:
-        """Lend an entry its share and return it.
+    def renew(self, entry_id: str, held_share: float, now_s: float) -> float:
+        """Renew an entry's lease and return its share.
 
         Args:
-          entry: names one start of an entry.
-          held_share: the share that it holds by an earlier loan.
-          now_s: the lender's time.
+          entry_id: id of one start of an entry.
+          held_share: the share of its current lease.
+          now_s: the leader's time.
         """
         self._leases = {
             e: lease for e, lease in self._leases.items() if lease.expires_s > now_s
         }
         others = sum(
-            lease.share for holder, lease in self._leases.items() if holder != entry
+            lease.share for holder, lease in self._leases.items() if holder != entry_id
         )
         if now_s < self._previous_expired_s:
             share = held_share
         else:
-            count = len(self._leases.keys() | {entry})
+            count = len(self._leases.keys() | {entry_id})
             share = max(0.0, min(1.0 / count, 1.0 - others))
-        self._leases[entry] = ShareLease(share, now_s + LEASE_DURATION_S)
+        self._leases[entry_id] = ShareLease(share, now_s + LEASE_DURATION_S)
         return share
 
-    def release(self, entry: str) -> None:
-        """End the loan of an entry that stops."""
-        self._leases.pop(entry, None)
+    def release(self, entry_id: str) -> None:
+        """End the lease of an entry that stops."""
+        self._leases.pop(entry_id, None)
 
     def entries(self, now_s: float) -> list[str]:
-        """Return the entries that hold a loan."""
+        """Return the entries with a lease in force."""
         return [
-            entry for entry, lease in self._leases.items() if lease.expires_s > now_s
+            entry_id
+            for entry_id, lease in self._leases.items()
+            if lease.expires_s > now_s
         ]
--- a/endivesill/fleet/state.py
+++ b/endivesill/fleet/state.py
@@ -1,7 +1,7 @@
-"""The replicated state of the fleet: configuration and emptied data centres.
+"""Replicated state of the fleet: configuration and evacuated data centres.
 
-The document of a configuration is kept as the operator sent it, so that it can
-be read back unchanged; this module looks only at its version and digest.
+The configuration document is stored as the operator sent it, so that it can be read
+back unchanged. Only its version and digest are interpreted here.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class ReplaceOutcome(enum.Enum):
-    """What became of a configuration that an operator sent."""
+    """Outcome of an operator's request to replace the configuration."""
 
     IN_FORCE = "in-force"
     HELD_ALREADY = "held-already"
@@ -42,7 +42,7 @@
 
 
 def document_digest(document: Any) -> str:
-    """Return a digest that is equal for equal JSON values."""
+    """Return a SHA-256 digest that is equal for equal JSON values."""
     text = json.dumps(document, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
 
@@ -51,12 +51,12 @@
 def replace_configuration(
     state: State, message: Message, context: CommandContext
 ) -> Message:
-    """Take a configuration if its version is the highest.
+    """Replace the configuration if the version is higher than the current one.
 
     Args:
       state: the replicated state.
       message: `{"version", "digest", "document"}`.
-      context: where the command stands in the log.
+      context: the position of the command in the log.
 
     Returns:
       `{"outcome", "version"}`: a `ReplaceOutcome` and the version in force.
@@ -77,12 +77,12 @@
 
 @command(SET_EVACUATION)
 def set_evacuation(state: State, message: Message, context: CommandContext) -> Message:
-    """Empty a data centre or take it back.
+    """Evacuate a data centre or end its evacuation.
 
     Args:
       state: the replicated state.
       message: `{"data_centre", "evacuated"}`.
-      context: where the command stands in the log.
+      context: the position of the command in the log.
     """
     section = state.section(EVACUATION_SECTION)
     evacuated = section.setdefault("data_centres", {})
@@ -100,7 +100,7 @@
 
 
 def evacuations(state: State) -> tuple[int, list[str]]:
-    """Return the index of the last change and the emptied data centres."""
+    """Return the log index of the last change and the evacuated data centres."""
     section = state.section(EVACUATION_SECTION)
     return section.get("index", 0), sorted(section.get("data_centres", {}))
 
--- a/endivesill/fleet/sync_client.py
+++ b/endivesill/fleet/sync_client.py
@@ -1,4 +1,4 @@
-"""An entry's part in the fleet's knowledge: it asks the leader for news."""
+"""An entry's side of the fleet synchronisation."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 SYNC_PATH = "/fleet/sync"
 
-# The leader answers after `LONG_POLL_S` at the latest; more means that it is
-# frozen, cut off or gone.
+# The leader replies within `LONG_POLL_S`; a longer delay means that it hangs, is
+# partitioned or has stopped.
 SYNC_TIMEOUT_S = 0.45
 RETRY_S = 0.05
-RETRY_LIMIT_S = 0.2
-# Without an answer for this long the leader counts as lost.
+MAX_RETRY_S = 0.2
+# Time without a reply after which the loss of the leader is logged.
 LEADER_LOST_AFTER_S = 1.0
 
 
@@ -37,19 +37,19 @@
 
 @attrs.define
 class FleetView:
-    """What an entry knows of the fleet.
+    """An entry's view of the fleet.
 
     Attributes:
       version: version of the configuration; None before there is one.
       document: the configuration as the operator sent it.
       evacuation_index: log index of the last change of evacuations.
-      evacuated: data centres whose targets get nothing.
-      list_stamp: which reading of the platform's list this is.
+      evacuated: data centres whose targets get no requests.
+      list_stamp: stamp of the engine list.
       engines: the engines by incarnation.
-      remote_loads: load of the other entries by incarnation of the engine.
-      lease: this entry's share of the allowances.
-      entry_count: how many entries hold a share.
-      confirmed_at_s: as of when all of this was the newest.
+      remote_loads: load of the other entries, by incarnation.
+      lease: this entry's share of the fleet-wide limits.
+      entry_count: how many entries hold a lease.
+      confirmed_at_s: when the view was last known to be current.
     """
 
     version: int | None = None
@@ -65,20 +65,20 @@
 
 
 class FleetSyncClient:
-    """Keeps a `FleetView` up to date.
+    """Keeps a `FleetView` up to date by long-polling the leader.
 
     Args:
       timer: the timer service.
       transport: calls the control VMs.
       seeds: peer addresses of some control VMs.
-      own_loads: returns this entry's load by incarnation of the engine.
-      on_update: called after each answer with the names of what is new.
+      own_loads: returns this entry's load by incarnation.
+      on_update: called after each reply with the names of the updated parts.
 
     Attributes:
-      view: what is known.
-      entry_id: names this start of the entry.
-      leader: peer address of the leader; None while it is not known.
-      leader_lost: notified when a leader does not answer any more.
+      view: the view of the fleet.
+      entry_id: identifies this start of the entry.
+      leader: peer address of the leader; None while unknown.
+      leader_lost: notified when the leader does not reply.
     """
 
     def __init__(
@@ -104,40 +104,40 @@
         self.view = FleetView()
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds; control VMs that are known stay known."""
+        """Replace the seeds; control VMs learnt from the leader are kept."""
         self._seeds = seeds
 
     async def run(self) -> None:
-        """Ask for news until cancelled."""
+        """Poll the leader until cancelled."""
         retry_s = RETRY_S
         while True:
             address = self.leader or self._next_address()
             sent_s = self._timer.now_s()
             try:
-                answer = await self._transport.call(
+                reply = await self._transport.call(
                     address, SYNC_PATH, self._sync_request(), SYNC_TIMEOUT_S
                 )
             except errors.PeerUnreachableError as error:
                 self._note_unreachable(address, str(error))
                 await self._timer.sleep(retry_s)
-                retry_s = min(2 * retry_s, RETRY_LIMIT_S)
+                retry_s = min(2 * retry_s, MAX_RETRY_S)
                 continue
-            if "share" in answer:
+            if "share" in reply:
                 retry_s = RETRY_S
-                self._apply(address, answer, sent_s)
+                self._apply(address, reply, sent_s)
                 continue
-            leader = answer.get("leader")
+            leader = reply.get("leader")
             self.leader = leader if leader != address else None
             if self.leader is None:
                 self._note_unreachable(address, "does not lead")
             await self._timer.sleep(RETRY_S)
 
     def note_grant(self, number: int) -> None:
-        """Note that a place which the leader granted is counted here now."""
+        """Record that this entry's load now includes a grant."""
         self._grants_seen = max(self._grants_seen, number)
 
     def load_report(self) -> Message:
-        """Return this entry's load, as the leader takes it."""
+        """Return this entry's load as a part of messages to the leader."""
         return {
             "entry": self.entry_id,
             "grants_seen": self._grants_seen,
@@ -145,14 +145,14 @@
         }
 
     async def deregister(self) -> None:
-        """Tell the leader that this entry stops."""
+        """Tell the leader that this entry stops; a failure is logged."""
         if self.leader is None:
             return
         message = {**self._sync_request(), "leaving": True}
         try:
             await self._transport.call(self.leader, SYNC_PATH, message, SYNC_TIMEOUT_S)
         except errors.PeerUnreachableError as error:
-            # The loan ends by itself.
+            # The lease expires anyway.
             events.emit(LEADER_LOST, address=self.leader, reason=str(error))
 
     def _next_address(self) -> str:
@@ -183,34 +183,35 @@
                 version=self.view.version,
             )
 
-    def _apply(self, address: str, answer: Message, sent_s: float) -> None:
+    def _apply(self, address: str, reply: Message, sent_s: float) -> None:
         view = self.view
         updated = {"loads"}
         if not self._connected:
             self._connected = True
-            events.emit(LEADER_REACHED, address=address, term=answer["term"])
-        state = answer.get("state")
-        # The version never goes back: a higher one has replaced this one.
+            events.emit(LEADER_REACHED, address=address, term=reply["term"])
+        state = reply.get("state")
+        # A leader that lags behind must not roll back the version.
         if state and (view.version is None or state["version"] > view.version):
             view.document = unpack_document(state["packed"])
             view.version = state["version"]
             updated.add("state")
-        evacuated = answer.get("evacuations")
+        evacuated = reply.get("evacuations")
         if evacuated and evacuated["index"] > view.evacuation_index:
             view.evacuation_index = evacuated["index"]
             view.evacuated = frozenset(evacuated["data_centres"])
             updated.add("evacuations")
-        engine_list = answer.get("list")
+        engine_list = reply.get("list")
         if engine_list and engine_list["stamp"] > view.list_stamp:
             view.list_stamp = engine_list["stamp"]
             engines = [EngineInfo(**row) for row in engine_list["engines"]]
             view.engines = {engine.incarnation: engine for engine in engines}
             updated.add("engines")
-        view.remote_loads = loads_from_rows(answer["loads"])
-        # Counted from the question, so that it ends here before it ends there.
-        view.lease = ShareLease(answer["share"], sent_s + LEASE_DURATION_S)
-        view.entry_count = answer["entries"]
+        view.remote_loads = loads_from_rows(reply["loads"])
+        # Counted from the request, so that the lease expires here before it does at
+        # the leader.
+        view.lease = ShareLease(reply["share"], sent_s + LEASE_DURATION_S)
+        view.entry_count = reply["entries"]
         view.confirmed_at_s = sent_s
         self.leader = address
-        self._control_addresses = answer["controls"]
+        self._control_addresses = reply["controls"]
         self._on_update(updated)
--- a/endivesill/fleet/sync_service.py
+++ b/endivesill/fleet/sync_service.py
@@ -1,8 +1,8 @@
-"""The leader's part in the fleet's knowledge: it tells entries what is new.
+"""The leader's side of the fleet synchronisation.
 
-An entry asks with what it knows; the answer comes at once if there is news, and
-otherwise after a short wait. Each answer rests on a confirmed leadership, so
-that it is not older than any acknowledged change.
+Entries long-poll the leader with the versions that they have. The reply comes at once
+if anything is newer, else after `LONG_POLL_S`. Leadership is confirmed by a quorum
+before each reply, so that a reply is never older than an acknowledged change.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 __all__ = ["FleetSyncService"]
 
-# Longest wait for news; also the age of the loads that entries tell each other.
+# Longest wait for updates; also the maximum age of the loads that are passed on.
 LONG_POLL_S = 0.2
 CONFIRM_TIMEOUT_S = 0.4
 NOT_LEADING_PAUSE_S = 0.2
 
 
 class FleetSyncService:
-    """Answers entries while this VM leads.
+    """Serves the fleet state to entries while this VM leads.
 
     Args:
       timer: the timer service.
@@ -44,7 +44,7 @@
       source: reads the platform's list.
 
     Attributes:
-      reader: holds the last reading of the list.
+      reader: holds the newest snapshot of the list.
       loads: the loads of all entries.
     """
 
@@ -69,17 +69,17 @@
         replica.subscribe_applied(self._note_applied)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener after each report, list and change of the state."""
+        """Set the function called after load reports, list changes and commands."""
         self._on_change = listener
 
     def apply_departures(self) -> None:
-        """Tell entries of engines that are about to leave."""
+        """Publish engines that have begun to leave, or no longer do."""
         if self.reader.apply_departures():
             self._updated.notify()
             self._on_change()
 
     def leads(self) -> bool:
-        """Tell whether this VM leads, as far as it knows."""
+        """Tell whether this VM leads, without confirmation by a quorum."""
         return self._replica.core.leadership is not None
 
     def _note_applied(self, applied: Applied) -> None:
@@ -87,7 +87,7 @@
         self._on_change()
 
     async def run(self) -> None:
-        """Read the platform's list whenever this VM leads."""
+        """Read the platform's list while this VM leads, until cancelled."""
         while True:
             term = await self._confirmed_term()
             if term is None:
@@ -99,7 +99,10 @@
             await self.reader.wait_until_due()
 
     async def _confirmed_term(self) -> int | None:
-        """Return the term in which this VM leads for sure, or None."""
+        """Return the term if a quorum confirms that this VM leads, else None.
+
+        A new term starts with a new share allocator.
+        """
         leadership = self._replica.core.leadership
         if leadership is None:
             return None
@@ -116,33 +119,33 @@
         return leadership.term
 
     async def _handle_sync(self, message: Message) -> Message:
-        """Tell an entry what it does not know yet.
+        """Reply to an entry's sync request.
 
         Args:
           message: `{"entry", "version", "evacuations", "list", "share", "loads",
-            "grants_seen", "leaving"}`: who asks, what it knows, and its load by
-            engine with the last place that is counted in it.
+            "grants_seen", "leaving"}`: the entry, the versions and the share that it
+            has, its load by incarnation, and the last grant included in it.
 
         Returns:
-          `{"leader"}` from a VM that does not lead; otherwise `{"share",
-          "entries", "loads", "controls"}` and, where newer, `"state"`,
-          `"evacuations"` and `"list"`.
+          `{"leader"}` from a VM that does not lead; `{}` to an entry that leaves; else
+          `{"share", "entries", "loads", "controls", "term"}` and, where newer,
+          `"state"`, `"evacuations"` and `"list"`.
         """
-        entry = message["entry"]
+        entry_id = message["entry"]
         if message.get("leaving"):
             if self._allocator is not None:
-                self._allocator.release(entry)
-            self.loads.remove(entry)
+                self._allocator.release(entry_id)
+            self.loads.remove(entry_id)
             return {}
         self.loads.record_report(
-            entry, message["loads"], message["grants_seen"], self._timer.now_s()
+            entry_id, message["loads"], message["grants_seen"], self._timer.now_s()
         )
         self._on_change()
         if not self._has_updates(message):
             await self._wait_for_updates(message)
         if await self._confirmed_term() is None:
             return {"leader": self._replica.core.leader_to_call()}
-        return self._build_reply(entry, message)
+        return self._build_reply(entry_id, message)
 
     async def _wait_for_updates(self, message: Message) -> None:
         async def wait() -> None:
@@ -158,7 +161,7 @@
         return bool(self._updates_for(message)) or self._replica.core.leadership is None
 
     def _updates_for(self, message: Message) -> dict[str, Callable[[], Any]]:
-        """Return what the asker lacks, each with what builds it."""
+        """Return a builder for each part of the state that the entry lacks."""
         updates: dict[str, Callable[[], Any]] = {}
         state = current_configuration(self._replica.state)
         known_version = message["version"]
@@ -181,20 +184,20 @@
         return updates
 
     def _packed_document(self, state: Message) -> str:
-        """Return the packed configuration; it is packed once for all entries."""
+        """Return the packed configuration, cached by version."""
         if self._packed_version != state["version"]:
             self._packed_version = state["version"]
             self._packed_text = pack_document(state["document"])
         return self._packed_text
 
-    def _build_reply(self, entry: str, message: Message) -> Message:
+    def _build_reply(self, entry_id: str, message: Message) -> Message:
         now_s = self._timer.now_s()
         assert self._allocator is not None
         return {
             **{name: build() for name, build in self._updates_for(message).items()},
-            "share": self._allocator.renew(entry, message["share"], now_s),
+            "share": self._allocator.renew(entry_id, message["share"], now_s),
             "entries": len(self._allocator.entries(now_s)),
-            "loads": loads_to_rows(self.loads.totals(now_s, excluding=entry)),
+            "loads": loads_to_rows(self.loads.totals(now_s, excluding=entry_id)),
             "controls": sorted(self._replica.core.voter_set.members.values()),
             "term": self._term,
         }
--- a/endivesill/forwarding/placer.py
+++ b/endivesill/forwarding/placer.py
@@ -132,16 +132,16 @@
     async def _request_placement(self, call: Call) -> Placement | None:
         """Request a placement from the leader; None if it does not answer."""
         max_wait_s = max(0.0, compute_wait_until_s(call) - self._timer.now_s())
-        answer = await self._request_from_leader(call, max_wait_s, source="")
-        if answer is None:
+        reply = await self._request_from_leader(call, max_wait_s, source="")
+        if reply is None:
             return None
-        if "refused" in answer:
-            raise NoRoomError(answer["refused"], answer["retry_after_s"])
-        target = self._table.get_or_add(EngineInfo(**answer["target"]))
+        if "refused" in reply:
+            raise NoRoomError(reply["refused"], reply["retry_after_s"])
+        target = self._table.get_or_add(EngineInfo(**reply["target"]))
         target.reserve(call.demand)
         backup = None
-        if answer["backup"] is not None:
-            backup = self._table.get_or_add(EngineInfo(**answer["backup"]))
+        if reply["backup"] is not None:
+            backup = self._table.get_or_add(EngineInfo(**reply["backup"]))
             backup.reserve_copy(call.demand)
         return Placement(target, backup, by_leader=True)
 
@@ -157,16 +157,16 @@
 
     async def place_copy(self, call: Call, source: Target) -> Target | None:
         """Return a target with the demand of a copy of a run reserved, or None."""
-        answer = await self._request_from_leader(
+        reply = await self._request_from_leader(
             call, 0.0, source=source.info.incarnation
         )
-        if answer is None:
+        if reply is None:
             targets = self._table.candidates(call.service.name, ())
             target = choose_destination(targets, call.service, call.demand, source)
-        elif "refused" in answer:
+        elif "refused" in reply:
             target = None
         else:
-            target = self._table.get_or_add(EngineInfo(**answer["target"]))
+            target = self._table.get_or_add(EngineInfo(**reply["target"]))
         if target is not None:
             target.reserve_copy(call.demand)
         return target
@@ -192,14 +192,14 @@
             "holder": source,
         }
         longest_s = max(max_wait_s, message["return_patience_s"])
-        answer = await self._call_leader(
+        reply = await self._call_leader(
             leader, message, longest_s + LEADER_REPLY_MARGIN_S
         )
-        if answer is None or "leader" in answer:
+        if reply is None or "leader" in reply:
             return None
-        if "number" in answer:
-            self._sync_client.note_grant(answer["number"])
-        return answer
+        if "number" in reply:
+            self._sync_client.note_grant(reply["number"])
+        return reply
 
     async def _call_leader(
         self, leader: str, message: Message, timeout_s: float
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -186,7 +186,7 @@
                 target.draining_since_s = None
             elif target.draining_since_s is None:
                 target.draining_since_s = self._timer.now_s()
-        for incarnation in [b for b, t in self._targets.items() if not t.listed]:
+        for incarnation in [key for key, t in self._targets.items() if not t.listed]:
             if not self._targets[incarnation].requests:
                 del self._targets[incarnation]
         self._by_service = {}
