--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -215,10 +215,10 @@
             attempt, body = await self._read_response(call, target)
         finally:
             target.release(call.demand)
-        good = attempt.response.status < 500
-        self._table.note_outcome(target, good=good)
+        succeeded = attempt.response.status < 500
+        self._table.note_outcome(target, succeeded=succeeded)
         call.runs += 1
-        if not good and self._may_rerun(call):
+        if not succeeded and self._may_rerun(call):
             self._log.attempt_failed(call, target, f"status {attempt.response.status}")
             return False
         self._forward_response(call, attempt, body)
@@ -304,11 +304,11 @@
         try:
             attempt = await relay.run(placement)
         except StreamBrokenError as error:
-            self._table.note_outcome(target, good=False)
+            self._table.note_outcome(target, succeeded=False)
             self._finish_failed(call, 502, str(error), events=relay.events)
             return
         if attempt is None:
-            self._table.note_outcome(target, good=True)
+            self._table.note_outcome(target, succeeded=True)
             self._log.ended(
                 call,
                 "answered",
@@ -327,7 +327,7 @@
             return
         finally:
             self._pool.release(attempt.connection)
-        self._table.note_outcome(target, good=attempt.response.status < 500)
+        self._table.note_outcome(target, succeeded=attempt.response.status < 500)
         self._forward_response(call, attempt, body)
 
     # Ends.
@@ -341,7 +341,7 @@
             self._table.note_replaced(target)
             self._pool.forget(target.info.address)
         elif failure is not Failure.TARGET_LEFT:
-            self._table.note_outcome(target, good=False)
+            self._table.note_outcome(target, succeeded=False)
         self._log.attempt_failed(call, target, str(error))
 
     def _finish_failed(
--- a/endivesill/forwarding/health.py
+++ b/endivesill/forwarding/health.py
@@ -46,11 +46,11 @@
         self.overdue += 1
         return self._next_ejection_s() if self.overdue >= MAX_OVERDUE else 0.0
 
-    def record_response(self, *, good: bool) -> None:
+    def record_response(self, *, succeeded: bool) -> None:
         """Count one response."""
         self.overdue = 0
         self.responses = min(MIN_RESPONSES, self.responses + 1)
-        sample = 0.0 if good else 1.0
+        sample = 0.0 if succeeded else 1.0
         self.failure_rate += EWMA_WEIGHT * (sample - self.failure_rate)
 
     def ejection_s(self, peers: Sequence[HealthRecord]) -> float:
--- a/endivesill/forwarding/placement.py
+++ b/endivesill/forwarding/placement.py
@@ -89,8 +89,8 @@
     """
     if service.model_engine is None:
         return target.total_requests < (1 + PLAIN_QUEUE_FRACTION) * target.info.slots
-    memory = service.model_engine
-    if target.total_requests >= memory.slots:
+    spec = service.model_engine
+    if target.total_requests >= spec.slots:
         return False
     prefill_tokens = target.total_prefill_tokens
     if (
@@ -99,9 +99,9 @@
         > MAX_PREFILL_BACKLOG_S * PREFILL_TOKENS_PER_S
     ):
         return False
-    limit = MEMORY_LIMIT_FRACTION * memory.capacity_tokens
+    limit = MEMORY_LIMIT_FRACTION * spec.capacity_tokens
     if target.total_requests == 0 and target.total_reserved_tokens == 0:
-        return demand.memory_tokens <= memory.capacity_tokens
+        return demand.memory_tokens <= spec.capacity_tokens
     return target.total_reserved_tokens + demand.memory_tokens <= limit
 
 
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -226,19 +226,19 @@
         run = self._run
         if run is None or run.attempt is None or not self.events:
             return
-        backed_up = run.backup is not None and self._table.accepts_requests(run.backup)
-        copied = run.copy is not None and self._table.accepts_requests(
+        has_backup = run.backup is not None and self._table.accepts_requests(run.backup)
+        has_copy = run.copy is not None and self._table.accepts_requests(
             run.copy.destination
         )
         idle_s = self._timer.now_s() - self._last_event_s
-        if idle_s > STALL_TIMEOUT_S and (backed_up or copied):
+        if idle_s > STALL_TIMEOUT_S and (has_backup or has_copy):
             run.attempt.connection.abort()
         elif run.copy is not None and (
-            run.copy.has_failed or not copied or not self._may_end_soon(run.target)
+            run.copy.has_failed or not has_copy or not self._may_end_soon(run.target)
         ):
             run.copy.close()
             run.copy = None
-        if backed_up:
+        if has_backup:
             return
         if run.copy is None:
             self._start_copy(run)
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -353,10 +353,10 @@
         if ejection_s > 0:
             self.eject(target, ejection_s, "answers are overdue")
 
-    def note_outcome(self, target: Target, *, good: bool) -> None:
+    def note_outcome(self, target: Target, *, succeeded: bool) -> None:
         """Count a response; eject the target if it is an outlier among its peers."""
         target.refused_connections = 0
-        target.health.record_response(good=good)
+        target.health.record_response(succeeded=succeeded)
         peers = [
             t.health
             for t in self._by_service.get(target.info.service, [])
@@ -365,5 +365,5 @@
         ejection_s = target.health.ejection_s(peers)
         if ejection_s > 0:
             self.eject(target, ejection_s, "fails more often than its peers")
-        elif good and target.health.check_readmission():
+        elif succeeded and target.health.check_readmission():
             events.emit(TARGET_READMITTED, target=target.info.identity)
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""The base of the tests that run a fleet on the manual timer."""
+"""Base of the tests that run a fleet on the manual timer."""
 
 import asyncio
 import unittest
@@ -7,12 +7,12 @@
 
 
 class FleetTestCase(unittest.IsolatedAsyncioTestCase):
-    """A fleet that ends with the test.
+    """A fleet that is stopped after the test.
 
     Attributes:
-      sizes: how many VMs each data centre has.
-      seed: the seed of the fleet.
-      started: whether all VMs run when the test begins.
+      sizes: number of VMs in each data centre.
+      seed: seed of the fleet.
+      started: whether all VMs run before the test starts.
     """
 
     sizes = {"a": 3, "b": 2, "c": 2}
@@ -20,7 +20,7 @@
     started = True
 
     async def asyncSetUp(self):
-        # The loop's debug mode makes a fleet about ten times slower.
+        # Debug mode slows a fleet down by a factor of about ten.
         asyncio.get_running_loop().set_debug(False)
         self.fleet = MemoryFleet(self.sizes, seed=self.seed)
         self.timer = self.fleet.timer
@@ -32,7 +32,7 @@
         await self.fleet.stop()
 
     async def advance_watching(self, duration_s, names):
-        """Advance in steps; return all states that others saw of the names."""
+        """Advance in steps; return all states in which other VMs saw the names."""
         seen = set()
         for _ in range(round(duration_s / 0.05)):
             await self.timer.advance(0.05)
--- a/tests/fleet_cluster.py
+++ b/tests/fleet_cluster.py
@@ -1,4 +1,4 @@
-"""Control VMs with their hubs, and entries that follow them, in one process."""
+"""Control VMs and the entries that synchronise with them, in one process."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.control_cluster import Cluster
 
 
-class SharedList(EngineListSource):
-    """The platform's list."""
+class FakeEngineList(EngineListSource):
+    """The platform's engine list."""
 
     def __init__(self) -> None:
         self.engines: list[EngineInfo] = []
@@ -24,43 +24,43 @@
 
 
 class Entry:
-    """One entry, without callers."""
+    """An entry without callers."""
 
     def __init__(self, cluster: FleetCluster, address: str) -> None:
         self.address = address
-        self.news: list[set[str]] = []
+        self.updates: list[set[str]] = []
         self.loads: dict = {}
         self.transport = cluster.network.transport(address)
-        self.follower = FleetSyncClient(
+        self.sync_client = FleetSyncClient(
             cluster.timer,
             self.transport,
             cluster.addresses[:1],
             lambda: self.loads,
-            self.news.append,
+            self.updates.append,
         )
-        self.task = supervise(cluster.timer, address, self.follower.run)
+        self.task = supervise(cluster.timer, address, self.sync_client.run)
 
     @property
     def view(self):
-        return self.follower.view
+        return self.sync_client.view
 
 
 class FleetCluster(Cluster):
-    """Replicas with hubs, a list, and entries."""
+    """A control cluster with sync services, an engine list and entries."""
 
     def __init__(self, size: int = 3) -> None:
         super().__init__(size)
-        self.list = SharedList()
-        self.hubs: dict[str, FleetSyncService] = {}
+        self.list = FakeEngineList()
+        self.sync_services: dict[str, FleetSyncService] = {}
         self.entries: list[Entry] = []
         self._tasks: list = []
 
     async def boot(self, address: str, disk: MemoryDisk | None = None):
         replica: ControlReplica = await super().boot(address, disk)
         transport = self.network.find(address)
-        hub = FleetSyncService(self.timer, replica, transport, self.list)
-        self.hubs[address] = hub
-        self._tasks.append(supervise(self.timer, "hub", hub.run))
+        sync_service = FleetSyncService(self.timer, replica, transport, self.list)
+        self.sync_services[address] = sync_service
+        self._tasks.append(supervise(self.timer, "sync-service", sync_service.run))
         return replica
 
     def add_entry(self) -> Entry:
--- a/tests/forwarding_case.py
+++ b/tests/forwarding_case.py
@@ -1,4 +1,4 @@
-"""An entry with engines on loopback, without control VMs."""
+"""Base of the tests of an entry without control VMs."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class ForwardingTestCase(unittest.IsolatedAsyncioTestCase):
-    """An entry in this process; engines are stand-ins on loopback."""
+    """An entry in this process with stand-in engines on loopback."""
 
     async def asyncSetUp(self):
         self.lines = []
@@ -59,10 +59,10 @@
         self.timer = SystemTimer()
         network = MemoryNetwork(self.timer)
         transport = network.transport("entry")
-        self.follower = FleetSyncClient(
+        self.sync_client = FleetSyncClient(
             self.timer, transport, ("nobody",), dict, lambda news: None
         )
-        self.view = self.follower.view
+        self.view = self.sync_client.view
         self.view.lease = ShareLease(1.0, self.timer.now_s() + 1_000)
         self.table = TargetTable(self.timer, self.view, "a")
         source = random.Random(1)
@@ -74,7 +74,7 @@
             source,
         )
         self.pool = ConnectionPool(self.timer, 0.5, 3.0)
-        placer = Placer(self.timer, self.table, admission, self.follower, transport)
+        placer = Placer(self.timer, self.table, admission, self.sync_client, transport)
         budget = RetryBudget(self.timer, 0.2, 54, 10.0, lambda: 1.0)
         self.forwarder = Forwarder(
             self.timer,
@@ -106,7 +106,7 @@
             await engine.stop()
 
     async def add(self, service: str, *names: str) -> list[StandinEngine]:
-        """Start engines and put them into the list."""
+        """Start engines and add them to the engine list."""
         added = []
         for name in names:
             engine = StandinEngine(name)
@@ -128,26 +128,26 @@
         return await pool.acquire(self.listener.address)
 
     async def ask(self, path: str, *headers, method="POST", body=b"hello", on=None):
-        """Send a request as a caller; return the head of the answer and its body."""
+        """Send a request as a caller; return the head and the body of the response."""
         connection = on or await self.connect()
         connection.send(request(path, *headers, method=method, body=body))
         head = await connection.head()
         return head, await connection.read_all()
 
     async def until(self, condition):
-        """Wait for a condition; fail after some seconds."""
+        """Wait for a condition; fail after 5 s."""
         for _ in range(500):
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("it did not come about")
+        raise AssertionError("condition not met within 5 s")
 
     def outcomes(self):
         return [f["outcome"] for name, f in self.lines if name == "request-ended"]
 
 
 def request(path: str, *headers, method="POST", body=b"hello") -> bytes:
-    """Return the bytes of a request as a caller writes it."""
+    """Return the bytes of a caller's request."""
     lines = [
         (b"Host", b"x.example"),
         (b"X-Endivesill-Request-Attempt-Id", b"a1"),
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -1,4 +1,4 @@
-"""Engines, views and calls for tests of forwarding."""
+"""Engines, routes and target tables for the tests of forwarding."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def engine(name: str, service: str = "llm", **changes) -> EngineInfo:
-    """Return an engine of data centre `a`."""
+    """Return an engine in data centre `a`."""
     info = EngineInfo(
         identity=name,
         incarnation=f"{name}@1",
@@ -42,7 +42,7 @@
 
 
 def route(kind: RequestKind = RequestKind.UNSAFE, **changes) -> Route:
-    """Return a route to the plain service, or a stream to the model."""
+    """Return a route to the model service if streaming, else to the plain one."""
     service = "llm" if kind is RequestKind.STREAMING else "app"
     found = Route(
         name="r",
@@ -60,16 +60,16 @@
     return attrs.evolve(found, **changes)
 
 
-def table_of(timer, *engines: EngineInfo) -> TargetTable:
-    """Return a table that holds these engines."""
+def make_table(timer, *engines: EngineInfo) -> TargetTable:
+    """Return a target table with these engines."""
     view = FleetView()
     table = TargetTable(timer, view, "a")
-    show(table, view, *engines)
+    set_engines(table, view, *engines)
     return table
 
 
-def show(table: TargetTable, view: FleetView, *engines: EngineInfo) -> None:
-    """Give a table another list."""
+def set_engines(table: TargetTable, view: FleetView, *engines: EngineInfo) -> None:
+    """Replace the engine list of a target table."""
     view.engines = {info.incarnation: info for info in engines}
     table._view = view
     table.update_engines()
--- a/tests/test_fleet_departures.py
+++ b/tests/test_fleet_departures.py
@@ -1,4 +1,4 @@
-"""Tests of noticing engines that are about to leave."""
+"""Tests of detecting departures from health checks."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class FakeHealth(HealthSource):
-    """Answers as the test says; engines without an entry do not answer."""
+    """Health checks with set results; engines without a result do not respond."""
 
     def __init__(self):
         self.healthy = {}
@@ -26,20 +26,20 @@
     async def is_healthy(self, engine):
         self.checks.append(engine.identity)
         if engine.identity not in self.healthy:
-            raise errors.UnavailableError("as the test wants")
+            raise errors.UnavailableError("set by the test")
         return self.healthy[engine.identity]
 
 
-class DepartureWatchTest(unittest.IsolatedAsyncioTestCase):
+class DepartureDetectorTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.timer = ManualTimer()
         self.source = FakeHealth()
         self.engines = [engine("e1"), engine("e2")]
         self.changes = 0
-        self.watch = DepartureDetector(
+        self.detector = DepartureDetector(
             self.timer, self.source, lambda: self.engines, self._note_change
         )
-        task = asyncio.ensure_future(self.watch.run())
+        task = asyncio.ensure_future(self.detector.run())
         self.addCleanup(task.cancel)
         await settle()
 
@@ -51,81 +51,81 @@
         await self.timer.advance(CHECK_PERIOD_S)
         await settle()
 
-    async def test_an_engine_that_turns_unhealthy_is_leaving(self):
+    async def test_a_failing_health_check_marks_an_engine_as_leaving(self):
         await self.check(e1=True, e2=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
         await self.check(e1=False, e2=True)
-        self.assertEqual({"e1@1"}, self.watch.leaving())
+        self.assertEqual({"e1@1"}, self.detector.leaving())
         self.assertEqual(1, self.changes)
 
-    async def test_a_new_engine_may_be_taken_away_before_its_first_check(self):
+    async def test_the_first_check_of_a_new_engine_counts(self):
         await self.check(e1=True, e2=True)
         self.engines.append(engine("e3"))
         await self.check(e1=True, e2=True, e3=False)
-        self.assertEqual({"e3@1"}, self.watch.leaving())
+        self.assertEqual({"e3@1"}, self.detector.leaving())
 
-    async def test_a_check_that_no_engine_of_a_service_has_passed_tells_nothing(self):
+    async def test_failures_are_ignored_until_an_engine_of_the_service_has_passed(self):
         self.engines.append(engine("a1", "app"))
         await self.check(e1=False, e2=False, a1=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
 
-    async def test_a_failing_check_that_nothing_confirms_is_doubted(self):
+    async def test_an_unconfirmed_failure_expires(self):
         await self.check(e1=True, e2=True)
         await self.check(e1=False, e2=True)
-        self.assertEqual({"e1@1"}, self.watch.leaving())
+        self.assertEqual({"e1@1"}, self.detector.leaving())
         for _ in range(int(CONFIRMED_AFTER_S / CHECK_PERIOD_S) + 1):
             await self.check(e1=False, e2=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
         self.assertEqual(2, self.changes)
-        # Once it has passed a check, a failure counts again.
+        # A failure counts again once the engine has passed a check.
         await self.check(e1=True, e2=True)
         await self.check(e1=False, e2=True)
-        self.assertEqual({"e1@1"}, self.watch.leaving())
+        self.assertEqual({"e1@1"}, self.detector.leaving())
 
-    async def test_no_answer_is_no_departure(self):
+    async def test_no_response_is_not_a_departure(self):
         await self.check(e1=True, e2=True)
         await self.check(e2=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
 
-    async def test_an_engine_that_recovers_takes_work_again(self):
+    async def test_an_engine_that_recovers_is_no_longer_leaving(self):
         await self.check(e1=True)
         await self.check(e1=False)
-        # The list has it as leaving by now, which must not end the checks.
+        # Checks go on although the list now shows the engine as draining.
         self.engines[0] = engine("e1", is_draining=True)
         await self.check(e1=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
         self.assertEqual(2, self.changes)
 
-    async def test_an_engine_that_the_list_drains_is_not_checked(self):
+    async def test_an_engine_that_drains_in_the_list_is_not_checked(self):
         self.engines[0] = engine("e1", is_draining=True)
         self.source.checks.clear()
         await self.check(e2=True)
         self.assertEqual(["e2"], self.source.checks)
 
-    async def test_another_start_of_an_engine_is_another_engine(self):
+    async def test_a_restarted_engine_is_not_leaving(self):
         await self.check(e1=True)
         await self.check(e1=False)
         self.engines[0] = engine("e1", incarnation="e1@2")
         await self.check(e1=True)
-        self.assertEqual(frozenset(), self.watch.leaving())
+        self.assertEqual(frozenset(), self.detector.leaving())
 
 
-class HealthAnswerTest(unittest.TestCase):
+class HealthResponseTest(unittest.TestCase):
     def decode(self, status, *headers):
         return decode_health(ResponseHead(status, list(headers), True), engine("e1"))
 
-    def test_the_status_tells(self):
+    def test_the_status_decides(self):
         named = (b"X-Endivesill-Instance-Id", b"e1")
         self.assertTrue(self.decode(200, named))
         self.assertFalse(self.decode(503, named))
 
-    def test_a_rejected_check_does_not_tell(self):
+    def test_a_rejected_check_is_inconclusive(self):
         with self.assertRaises(errors.UnavailableError):
             self.decode(503, (b"X-Endivesill-Not-Executed", b"1"))
         with self.assertRaises(errors.UnavailableError):
             self.decode(429)
 
-    def test_another_engine_at_the_address_does_not_tell(self):
+    def test_a_check_answered_by_another_engine_is_inconclusive(self):
         for status in (200, 503):
             with self.assertRaises(errors.UnavailableError):
                 self.decode(status, (b"X-Endivesill-Instance-Id", b"e9"))
--- a/tests/test_fleet_engine_list.py
+++ b/tests/test_fleet_engine_list.py
@@ -1,4 +1,4 @@
-"""Tests of the reader of the platform's list."""
+"""Tests of the reader of the platform's engine list."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
     async def read(self):
         if self.fails:
-            raise errors.UnavailableError("as the test wants")
+            raise errors.UnavailableError("set by the test")
         return self.engines
 
 
@@ -32,7 +32,7 @@
         self.source = FakeSource()
         self.reader = EngineListReader(self.timer, self.source)
 
-    async def test_a_reading_is_numbered_when_engines_have_changed(self):
+    async def test_the_number_increases_when_engines_change(self):
         self.source.engines = [engine("e1", cold_s=2.0)]
         self.assertTrue(await self.reader.read(3))
         self.assertEqual([3, 1], self.reader.current.stamp)
@@ -42,20 +42,20 @@
         self.assertTrue(await self.reader.read(3))
         self.assertEqual([3, 2], self.reader.current.stamp)
 
-    async def test_a_new_leaders_reading_is_newer(self):
+    async def test_the_list_of_a_new_term_is_newer(self):
         await self.reader.read(3)
         self.assertTrue(await self.reader.read(4))
         self.assertGreater([4, 1], [3, 9])
         self.assertEqual([4, 1], self.reader.current.stamp)
 
-    async def test_the_last_list_outlives_the_platforms(self):
+    async def test_the_last_list_is_kept_when_the_platform_fails(self):
         self.source.engines = [engine("e1")]
         await self.reader.read(1)
         self.source.fails = True
         self.assertFalse(await self.reader.read(1))
         self.assertEqual(["e1@1"], list(self.reader.current.engines))
 
-    async def test_an_engine_that_reports_its_end_is_leaving_before_the_list(self):
+    async def test_a_departure_counts_before_the_list_shows_it(self):
         self.reader.use_departure_sources(lambda: frozenset({"e1@1"}), frozenset)
         self.source.engines = [engine("e1"), engine("e2")]
         await self.reader.read(1)
@@ -64,7 +64,7 @@
         ]
         self.assertEqual(["e1"], leaving)
 
-    async def test_a_departure_counts_between_two_readings(self):
+    async def test_departures_are_merged_between_two_reads(self):
         leaving = set()
         with_notice = set()
         self.reader.use_departure_sources(
@@ -82,15 +82,15 @@
         self.assertTrue(self.reader.apply_departures())
         self.assertTrue(self.reader.current.engines["e1@1"].has_notice)
 
-    async def test_a_long_list_is_read_as_often_as_the_platform_allows(self):
+    async def test_the_rate_limit_of_the_platform_is_kept(self):
         self.source.min_period_s = 3.0
-        pausing = asyncio.ensure_future(self.reader.wait_until_due())
+        waiting = asyncio.ensure_future(self.reader.wait_until_due())
         await self.timer.advance(2.9)
-        self.assertFalse(pausing.done())
+        self.assertFalse(waiting.done())
         await self.timer.advance(0.2)
-        self.assertTrue(pausing.done())
+        self.assertTrue(waiting.done())
 
-    async def test_coldness_is_told_as_of_now(self):
+    async def test_remaining_cold_time_is_as_of_now(self):
         self.source.engines = [engine("e1", cold_s=2.0)]
         await self.reader.read(1)
         message = list_to_message(self.reader.current, self.timer.now_s() + 0.5)
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -1,4 +1,4 @@
-"""Tests of the sum of the entries' loads at the leader."""
+"""Tests of the load totals at the leader."""
 
 import unittest
 
@@ -17,7 +17,7 @@
     def total(self, now_s=0.0, excluding=""):
         return self.loads.totals(now_s, excluding).get("e", EngineLoad())
 
-    def test_reports_add_up_over_the_entries(self):
+    def test_totals_sum_the_reports_of_all_entries(self):
         self.loads.record_report("a", {"e": [1, 100, 50]}, 0, 0.0)
         self.loads.record_report("b", {"e": [2, 200, 0]}, 0, 0.0)
         self.assertEqual(EngineLoad(3, 300, 50), self.total())
@@ -31,14 +31,14 @@
         self.loads.record_report("a", {"e": [1, 100, 100]}, number, 0.0)
         self.assertEqual(EngineLoad(1, 100, 100), self.total())
 
-    def test_a_grant_that_nobody_has_received_ends(self):
+    def test_an_unreported_grant_expires(self):
         self.loads.grant("a", {"e": EngineLoad(1, 100, 100)}, 0.0)
         self.assertEqual(EngineLoad(), self.total(GRANT_TTL_S + 0.01))
 
-    def test_an_entry_that_is_silent_has_no_load(self):
+    def test_a_report_expires(self):
         self.loads.record_report("a", {"e": [1, 100, 50]}, 0, 0.0)
         self.assertEqual(EngineLoad(), self.total(REPORT_TTL_S + 0.01))
 
-    def test_numbers_go_on_after_a_change_of_the_leader(self):
+    def test_a_new_leader_continues_the_grant_numbers(self):
         self.loads.record_report("a", {}, 41, 0.0)
         self.assertEqual(42, self.loads.grant("a", {"e": EngineLoad(1)}, 0.0))
--- a/tests/test_fleet_packing.py
+++ b/tests/test_fleet_packing.py
@@ -1,21 +1,21 @@
-"""Tests of the packing of configurations."""
+"""Tests of compressed configurations."""
 
 import unittest
 
 from endivesill import errors
 from endivesill.fleet.packing import pack_document, unpack_document
 
-# What the smallest link of today's sites carries in half a sync's timeout.
-SMALL_LINK_BYTES = 5_000_000 // 8 * 0.45 / 2
+# Bytes that a link of 5 Mbit/s carries in half of a sync's time-out.
+SLOWEST_LINK_BYTES = 5_000_000 // 8 * 0.45 / 2
 
 
 class PackingTest(unittest.TestCase):
-    def test_a_document_comes_back_as_it_was(self):
+    def test_round_trip(self):
         document = {"a": [1, 2.5, None, "ø\n"], "b": {"c": True}}
         self.assertEqual(document, unpack_document(pack_document(document)))
 
-    def test_a_configuration_of_many_routes_fits_the_smallest_link(self):
-        """Seen in a hunt: entries never got a change of fourteen hundred routes."""
+    def test_a_large_configuration_fits_the_slowest_link(self):
+        """Guards against syncs that time out: entries never received 1,400 routes."""
         routes = [
             {
                 "name": f"r-{number * 7919 % 100_003:x}",
@@ -33,9 +33,9 @@
             for number in range(1_400)
         ]
         packed = pack_document({"version": 7, "routes": routes})
-        self.assertLess(len(packed), SMALL_LINK_BYTES)
+        self.assertLess(len(packed), SLOWEST_LINK_BYTES)
 
-    def test_what_cannot_be_read(self):
+    def test_invalid_texts_are_rejected(self):
         for text in ("", "!!", pack_document({})[:-6]):
             with self.assertRaises(errors.PeerMessageError):
                 unpack_document(text)
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -40,11 +40,11 @@
         self.assertEqual("superseded", self.replace(3, a=1))
         self.assertEqual(7, current_configuration(self.state)["version"])
 
-    def test_a_resend_is_answered_again(self):
+    def test_a_resent_configuration_is_accepted_again(self):
         self.replace(7, a=2)
         self.assertEqual("held-already", self.replace(7, a=2))
 
-    def test_other_content_under_the_version_in_force_is_a_conflict(self):
+    def test_different_content_with_the_same_version_is_a_conflict(self):
         self.replace(7, a=2)
         self.assertEqual("conflict", self.replace(7, a=3))
         self.assertEqual(2, current_configuration(self.state)["document"]["a"])
@@ -56,11 +56,11 @@
 
 
 class EvacuationTest(unittest.TestCase):
-    def test_data_centres_are_emptied_and_taken_back(self):
+    def test_data_centres_are_evacuated_and_restored(self):
         state = State()
-        for index, (name, emptied) in enumerate(
+        for index, (name, evacuated) in enumerate(
             [("a", True), ("b", True), ("a", True), ("a", False)], start=1
         ):
-            message = {"data_centre": name, "evacuated": emptied}
+            message = {"data_centre": name, "evacuated": evacuated}
             set_evacuation(state, message, CommandContext(index, 0.0))
         self.assertEqual((4, ["b"]), evacuations(state))
--- a/tests/test_fleet_sync.py
+++ b/tests/test_fleet_sync.py
@@ -1,4 +1,4 @@
-"""Tests of how entries learn of the configuration, the list and each other."""
+"""Tests of the fleet synchronisation between entries and the leader."""
 
 from endivesill.fleet.load import EngineLoad
 from endivesill.fleet.shares import LEASE_DURATION_S
@@ -11,7 +11,7 @@
 from tests.fleet_cluster import FleetCluster
 from tests.forwarding_fakes import engine
 
-# The platform's bound for a change to be in force.
+# Longest time that the platform allows until a change is in force.
 APPLY_BOUND_S = 2.0
 
 
@@ -36,8 +36,8 @@
         return await cluster.run(cluster.client().propose(REPLACE, message, 10.0))
 
 
-class NewsTest(SyncTestCase):
-    async def test_a_change_is_known_well_within_its_bound(self):
+class UpdatesTest(SyncTestCase):
+    async def test_a_new_configuration_reaches_the_entries_in_time(self):
         cluster = await self.cluster()
         entry = cluster.entries[0]
         self.assertEqual(["e1@1"], list(entry.view.engines))
@@ -45,9 +45,9 @@
         await cluster.timer.advance(0.1)
         self.assertEqual(7, entry.view.version)
         self.assertEqual({"version": 7, "a": 1}, entry.view.document)
-        self.assertIn("state", set().union(*entry.news))
+        self.assertIn("state", set().union(*entry.updates))
 
-    async def test_an_entry_never_goes_back(self):
+    async def test_an_older_version_is_not_applied(self):
         cluster = await self.cluster()
         entry = cluster.entries[0]
         await self.replace(cluster, 9)
@@ -69,7 +69,7 @@
         await cluster.timer.advance(5.0)
         self.assertLessEqual(cluster.list.reads - before, 5.0 / 0.25 + 1)
 
-    async def test_loads_of_other_entries_are_told(self):
+    async def test_entries_receive_the_load_of_other_entries(self):
         cluster = await self.cluster(entries=2)
         one, two = cluster.entries
         one.loads = {"e1@1": EngineLoad(2, 100, 50)}
@@ -79,7 +79,7 @@
 
 
 class LeaderLossTest(SyncTestCase):
-    async def test_entries_follow_a_new_leader_within_the_bound(self):
+    async def test_entries_follow_a_new_leader_in_time(self):
         cluster = await self.cluster(entries=3)
         leader = cluster.address_of(await cluster.leader())
         await cluster.crash(leader)
@@ -88,7 +88,7 @@
         await cluster.timer.advance(APPLY_BOUND_S)
         self.assertEqual([7, 7, 7], [e.view.version for e in cluster.entries])
 
-    async def test_a_leader_that_was_cut_off_does_not_answer_as_one(self):
+    async def test_a_partitioned_leader_does_not_serve_stale_state(self):
         cluster = await self.cluster()
         entry = cluster.entries[0]
         await self.replace(cluster, 7)
@@ -103,7 +103,7 @@
         await cluster.timer.advance(APPLY_BOUND_S)
         self.assertEqual(8, entry.view.version)
 
-    async def test_without_a_leader_the_last_state_is_kept(self):
+    async def test_the_last_state_is_kept_without_a_leader(self):
         cluster = await self.cluster()
         entry = cluster.entries[0]
         await self.replace(cluster, 7)
@@ -119,7 +119,7 @@
 
 
 class ShareTest(SyncTestCase):
-    async def test_shares_stay_under_one_over_changes_of_the_leader(self):
+    async def test_shares_sum_to_at_most_one_across_leader_changes(self):
         cluster = await self.cluster(entries=4)
         for round_number in range(3):
             for _ in range(60):
@@ -132,12 +132,12 @@
                 await cluster.restart(leader)
         self.assertAlmostEqual(1.0, total)
 
-    async def test_an_entry_that_stops_frees_its_share(self):
+    async def test_an_entry_that_stops_releases_its_share(self):
         cluster = await self.cluster(entries=2)
         await cluster.timer.advance(3 * LEASE_DURATION_S)
         one, two = cluster.entries
         self.assertAlmostEqual(0.5, two.view.lease.share)
         one.task.cancel()
-        await cluster.run(one.follower.deregister())
+        await cluster.run(one.sync_client.deregister())
         await cluster.timer.advance(0.5)
         self.assertAlmostEqual(1.0, two.view.lease.share)
--- a/tests/test_forwarding_events.py
+++ b/tests/test_forwarding_events.py
@@ -1,4 +1,4 @@
-"""Tests of the splitting of streams into whole events."""
+"""Tests of the splitter of server-sent events."""
 
 import itertools
 import unittest
@@ -12,11 +12,11 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    def test_events_have_their_numbers(self):
+    def test_event_ids_are_parsed(self):
         found = EventSplitter().feed(STREAM)
         self.assertEqual([1, 2, None, 3], [event.event_id for event in found])
 
-    def test_half_an_event_is_kept_back(self):
+    def test_an_incomplete_event_is_buffered(self):
         splitter = EventSplitter()
         self.assertEqual(1, len(splitter.feed(b"id: 1\n\nid: 2\nda")))
         self.assertEqual(b"id: 2\nda", splitter.remainder)
@@ -25,11 +25,11 @@
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, len(STREAM))))
-    def test_no_byte_is_lost_however_it_is_cut(self, cuts):
-        places = [0, *sorted(cuts), len(STREAM)]
+    def test_splitting_does_not_depend_on_chunk_boundaries(self, cuts):
+        offsets = [0, *sorted(cuts), len(STREAM)]
         splitter = EventSplitter()
         found = []
-        for start, end in itertools.pairwise(places):
+        for start, end in itertools.pairwise(offsets):
             found += splitter.feed(STREAM[start:end])
         self.assertEqual(STREAM, b"".join(event.data for event in found))
         self.assertEqual([1, 2, None, 3], [event.event_id for event in found])
--- a/tests/test_forwarding_log.py
+++ b/tests/test_forwarding_log.py
@@ -1,20 +1,20 @@
-"""Tests of the lines that a request leaves: one for each decision."""
+"""Tests of the log lines about a request."""
 
 import asyncio
 
 from tests.forwarding_case import STREAM_HEADERS, ForwardingTestCase
 
 
-class RequestLinesTest(ForwardingTestCase):
+class RequestLogTest(ForwardingTestCase):
     def kinds(self):
-        """Return the kinds of the lines about the request, in order."""
+        """Return the event names of the request's lines, in order."""
         return [name for name, fields in self.lines if fields.get("request_id") == "a1"]
 
     def fields(self, kind):
         (found,) = [f for name, f in self.lines if name == kind]
         return found
 
-    async def test_a_request_that_is_served(self):
+    async def test_lines_of_an_answered_request(self):
         await self.add("app", "s1")
         await self.ask("/safe/x")
         self.assertEqual(["request-placed", "request-ended"], self.kinds())
@@ -29,7 +29,7 @@
             ("answered", 200, 1), (ended["outcome"], ended["status"], ended["sends"])
         )
 
-    async def test_a_request_that_is_repeated(self):
+    async def test_lines_of_a_retried_request(self):
         engines = await self.add("app", "s1", "s2")
         for engine in engines:
             engine.answers = [500]
@@ -39,14 +39,14 @@
             self.kinds(),
         )
 
-    async def test_a_request_that_is_refused(self):
+    async def test_lines_of_a_refused_request(self):
         await self.ask("/safe/x")
         self.assertEqual(["request-refused"], self.kinds())
         refused = self.fields("request-refused")
         self.assertEqual(503, refused["status"])
         self.assertIn("waited_s", refused)
 
-    async def test_a_generation_that_goes_on_elsewhere(self):
+    async def test_lines_of_a_resumed_stream(self):
         engines = await self.add("llm", "e1", "e2")
         for engine in engines:
             engine.copies = {"a1"}
@@ -63,7 +63,7 @@
         )
         self.assertEqual(1, self.fields("request-ended")["resumes"])
 
-    async def test_no_line_names_a_key(self):
+    async def test_keys_are_not_logged(self):
         await self.add("app", "s1")
         await self.ask("/keyed/x", (b"Api-Key", b"k1"))
         await self.ask("/keyed/x", (b"Api-Key", b"stolen"))
--- a/tests/test_forwarding_placement_service.py
+++ b/tests/test_forwarding_placement_service.py
@@ -1,4 +1,4 @@
-"""Tests of the leader that places generations for all entries."""
+"""Tests of the placement of generations by the leader."""
 
 import asyncio
 import random
@@ -10,19 +10,19 @@
     PlacementService,
 )
 from endivesill.timer import ManualTimer
-from tests.forwarding_fakes import MEMORY, MODEL, PLAIN, engine, show, table_of
+from tests.forwarding_fakes import MEMORY, MODEL, PLAIN, engine, make_table, set_engines
 from tests.http1_fakes import settle
 
 ENTRIES = tuple(f"entry-{number}" for number in range(7))
 
 
-class HomeTestCase(unittest.IsolatedAsyncioTestCase):
+class PlacementServiceTestCase(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.timer = ManualTimer()
-        self.table = table_of(self.timer, engine("e1"), engine("e2"))
+        self.table = make_table(self.timer, engine("e1"), engine("e2"))
         self.loads = FleetLoads()
         self.leads = True
-        self.home = PlacementService(
+        self.placement_service = PlacementService(
             self.timer,
             self.table,
             self.loads,
@@ -53,25 +53,25 @@
         }
 
     async def ask(self, **changes):
-        return await self.home.handle(self.message(**changes))
+        return await self.placement_service.handle(self.message(**changes))
 
     async def fill(self):
-        """Ask until there is no room."""
+        """Request placements until none is granted; return how many were."""
         placed = 0
         while "target" in await self.ask(patience_s=0.0, session=f"f{placed}"):
             placed += 1
         return placed
 
 
-class PlaceTest(HomeTestCase):
-    async def test_a_place_names_the_engine_and_its_backup(self):
+class PlaceTest(PlacementServiceTestCase):
+    async def test_a_placement_has_a_target_and_a_backup(self):
         answer = await self.ask()
         names = {answer["target"]["identity"], answer["backup"]["identity"]}
         self.assertEqual({"e1", "e2"}, names)
         self.assertEqual(1, answer["number"])
 
-    async def test_entries_that_ask_at_once_do_not_share_one_place(self):
-        """Replays seven entries that see a new engine in the same moment."""
+    async def test_simultaneous_requests_do_not_overcommit_engines(self):
+        """Guards against seven entries filling the same new engine at once."""
         answers = await asyncio.gather(
             *(self.ask(entry=entry, patience_s=0.0) for entry in ENTRIES)
         )
@@ -84,29 +84,29 @@
             self.assertLessEqual(placed.count(name), 3)
         self.assertTrue(any("refused" in answer for answer in answers))
 
-    async def test_a_place_stays_taken_until_the_entry_reports_it(self):
+    async def test_a_grant_counts_until_it_expires(self):
         before = await self.fill()
         self.assertGreater(before, 0)
-        self.home.update()
+        self.placement_service.update()
         self.assertIn("refused", await self.ask(session="one", patience_s=0.0))
         await self.timer.advance(1.1)
-        self.home.update()
+        self.placement_service.update()
         self.assertIn("target", await self.ask(session="two", patience_s=0.0))
 
-    async def test_who_does_not_lead_says_so(self):
+    async def test_a_vm_that_does_not_lead_grants_nothing(self):
         self.leads = False
         self.assertEqual({"leader": None}, await self.ask())
 
-    async def test_plain_services_are_not_placed_here(self):
+    async def test_plain_services_are_not_placed_by_the_leader(self):
         self.assertEqual({"leader": None}, await self.ask(service="app"))
 
-    async def test_a_copy_of_a_run_gets_a_place_elsewhere(self):
+    async def test_a_copy_is_placed_at_another_engine(self):
         answer = await self.ask(holder="e1@1")
         self.assertEqual("e2", answer["target"]["identity"])
-        show(self.table, self.table._view, engine("e1"))
+        set_engines(self.table, self.table._view, engine("e1"))
         self.assertIn("refused", await self.ask(holder="e1@1"))
 
-    async def test_cold_engines_get_the_leaders_part_of_their_rate(self):
+    async def test_cold_engines_get_the_leaders_fraction_of_their_rate(self):
         places = 0
         for number in range(200):
             answer = await self.ask(
@@ -122,9 +122,9 @@
         self.assertGreaterEqual(places, allowance)
 
 
-class RefusalTest(HomeTestCase):
-    async def test_what_would_wait_in_vain_is_refused_at_once(self):
-        """Replays a standing overload: each place is asked for many times over."""
+class RefusalTest(PlacementServiceTestCase):
+    async def test_requests_with_too_long_an_expected_wait_are_refused_at_once(self):
+        """Guards against long waits for a late refusal under sustained overload."""
         await self.fill()
         full = {incarnation: [5, 33_000, 0] for incarnation in ("e1@1", "e2@1")}
         await self.timer.advance(4.1)
@@ -141,7 +141,7 @@
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
 
-    async def test_who_comes_back_goes_before_those_who_come_first(self):
+    async def test_retries_after_a_refusal_are_served_first(self):
         await self.fill()
         self.assertIn("refused", await self.ask(session="back", patience_s=0.0))
         order = []
@@ -155,15 +155,15 @@
         back = asyncio.ensure_future(wait("back", 1.5))
         await settle()
         await self.timer.advance(1.05)
-        self.home.update()
+        self.placement_service.update()
         await asyncio.gather(first, back)
         self.assertEqual(("back", True), order[0])
 
-    async def test_a_caller_who_leaves_frees_the_way(self):
+    async def test_a_cancelled_request_leaves_the_queue(self):
         await self.fill()
         task = asyncio.ensure_future(self.ask(session="w", patience_s=1.5))
         await settle()
         task.cancel()
         await settle()
-        self.assertEqual(0, self.home._admission.queue_length())
-        self.assertEqual({}, self.home._requesting_entries)
+        self.assertEqual(0, self.placement_service._admission.queue_length())
+        self.assertEqual({}, self.placement_service._requesting_entries)
--- a/tests/test_forwarding_plain.py
+++ b/tests/test_forwarding_plain.py
@@ -1,10 +1,10 @@
-"""Tests of plain requests on their way to targets and back."""
+"""Tests of forwarding and retrying plain requests."""
 
 from tests.forwarding_case import ForwardingTestCase, request
 
 
 class ForwardTest(ForwardingTestCase):
-    async def test_a_request_arrives_as_it_was_sent(self):
+    async def test_a_request_is_forwarded_unchanged(self):
         (engine,) = await self.add("app", "p1")
         head, body = await self.ask(
             "/unsafe/x?a=%20b", (b"X-Mine", b" v "), body=b"\x00\xff"
@@ -20,14 +20,14 @@
         left_ms = int(headers[b"x-endivesill-deadline-remaining"])
         self.assertTrue(3_000 < left_ms <= 4_000)
 
-    async def test_the_engines_status_body_and_seal_come_back(self):
+    async def test_the_response_is_forwarded_with_its_seal(self):
         (engine,) = await self.add("app", "p1")
         engine.answers = [418]
         head, body = await self.ask("/unsafe/x")
         self.assertEqual((418, b"p1"), (head.status, body))
         self.assertEqual(b"1.2.3", head.header(b"x-endivesill-response-seal"))
 
-    async def test_what_only_the_system_may_set_is_not_passed_on(self):
+    async def test_system_headers_from_callers_are_dropped(self):
         (engine,) = await self.add("app", "p1")
         own = [
             (b"X-Endivesill-Hold", b"h"),
@@ -42,7 +42,7 @@
         for name, value in own:
             self.assertNotEqual(value, headers.get(name.lower()), name)
 
-    async def test_a_key_becomes_its_organisation(self):
+    async def test_a_key_is_replaced_by_its_organisation(self):
         (engine,) = await self.add("app", "p1")
         head, _ = await self.ask("/keyed/x", (b"Api-Key", b"k1"))
         self.assertEqual(200, head.status)
@@ -50,21 +50,21 @@
         self.assertEqual(b"owners", headers[b"x-endivesill-tenant"])
         self.assertNotIn(b"api-key", headers)
 
-    async def test_an_unknown_key_is_refused_and_no_engine_hears_of_it(self):
+    async def test_an_unknown_key_is_refused_without_sending_the_request(self):
         (engine,) = await self.add("app", "p1")
         for keys in ([], [(b"Api-Key", b"k9")], [(b"Api-Key", b"k1")] * 2):
             head, _ = await self.ask("/keyed/x", *keys)
             self.assertEqual(401, head.status)
         self.assertEqual([], engine.requests)
 
-    async def test_no_route_is_a_404_and_no_state_a_503(self):
+    async def test_no_route_is_a_404_and_no_configuration_a_503(self):
         self.assertEqual(404, (await self.ask("/none/x"))[0].status)
         self.forwarder.routes = None
         head, _ = await self.ask("/unsafe/x")
         self.assertEqual(503, head.status)
         self.assertTrue(head.header(b"retry-after"))
 
-    async def test_an_answer_without_a_length_is_passed_on_whole(self):
+    async def test_a_response_without_a_length_is_forwarded_completely(self):
         (engine,) = await self.add("app", "p1")
         engine.unframed = True
         head, body = await self.ask("/unsafe/x")
@@ -72,8 +72,8 @@
         self.assertEqual(b"2", head.header(b"content-length"))
 
 
-class RepeatTest(ForwardingTestCase):
-    async def test_a_safe_request_that_fails_is_sent_to_another_target(self):
+class RetryTest(ForwardingTestCase):
+    async def test_a_failed_safe_request_is_retried_at_another_target(self):
         engines = await self.add("app", "p1", "p2")
         for engine in engines:
             engine.answers = [500]
@@ -81,7 +81,7 @@
         self.assertEqual(500, head.status)
         self.assertEqual([1, 1], [len(e.requests) for e in engines])
 
-    async def test_a_safe_request_is_served_by_the_second_target(self):
+    async def test_a_retry_of_a_safe_request_succeeds(self):
         one, two = await self.add("app", "p1", "p2")
         one.hangs = two.hangs = False
         one.answers = [500]
@@ -92,7 +92,7 @@
         ]
         self.assertEqual([200] * 4, heads)
 
-    async def test_an_unsafe_request_that_may_have_run_is_not_repeated(self):
+    async def test_an_unsafe_request_that_may_have_run_is_not_retried(self):
         engines = await self.add("app", "p1", "p2")
         for engine in engines:
             engine.answers = [500]
@@ -100,34 +100,34 @@
         self.assertEqual(500, head.status)
         self.assertEqual(1, sum(len(e.requests) for e in engines))
 
-    async def test_an_unsafe_request_that_was_not_run_goes_to_another_target(self):
+    async def test_an_unsafe_request_that_was_not_run_is_retried(self):
         one, _ = await self.add("app", "p1", "p2")
         one.not_run = True
         for _ in range(4):
             self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
 
-    async def test_a_target_that_is_another_one_now_is_left_alone(self):
+    async def test_a_reused_address_is_not_used_again(self):
         one, _ = await self.add("app", "p1", "p2")
         one.identity = "someone-else"
         for _ in range(4):
             self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
         self.assertLessEqual(len(one.requests), 1)
 
-    async def test_a_request_that_no_target_ran_is_refused_as_not_run(self):
+    async def test_a_request_that_no_target_ran_is_refused(self):
         one, two = await self.add("app", "p1", "p2")
         one.not_run = two.not_run = True
         head, _ = await self.ask("/unsafe/x")
         self.assertEqual(503, head.status)
         self.assertTrue(head.header(b"retry-after"))
 
-    async def test_an_unsafe_request_that_breaks_off_is_not_called_not_run(self):
+    async def test_an_unsafe_request_that_times_out_has_an_unknown_outcome(self):
         (engine,) = await self.add("app", "p1")
         engine.hangs = True
         head, _ = await self.ask("/short/x")
         self.assertEqual(504, head.status)
         self.assertEqual(["unknown"], self.outcomes())
 
-    async def test_an_answer_to_another_request_is_skipped(self):
+    async def test_a_response_to_another_request_is_skipped(self):
         (engine,) = await self.add("app", "p1")
         engine.foreign_first = True
         head, body = await self.ask("/unsafe/x")
@@ -135,7 +135,7 @@
 
 
 class LeavingTest(ForwardingTestCase):
-    async def test_a_target_that_leaves_while_the_connection_is_set_up(self):
+    async def test_a_target_that_leaves_during_connection_setup_gets_no_request(self):
         one, two = await self.add("app", "p1", "p2")
         acquire = self.pool.acquire
 
@@ -153,7 +153,7 @@
         self.assertEqual([], one.requests)
         self.assertEqual(3, len(two.requests))
 
-    async def test_a_safe_callers_end_ends_the_work(self):
+    async def test_a_safe_request_is_cancelled_when_its_caller_disconnects(self):
         (engine,) = await self.add("app", "p1")
         engine.hangs = True
         connection = await self.connect()
--- a/tests/test_forwarding_routes.py
+++ b/tests/test_forwarding_routes.py
@@ -1,4 +1,4 @@
-"""Tests of the look-up of routes and keys."""
+"""Tests of the look-up of routes, keys and services."""
 
 import random
 import unittest
@@ -8,7 +8,7 @@
 from tests.forwarding_fakes import MODEL, PLAIN, route
 
 
-def state(*routes, organisations=()):
+def configuration(*routes, organisations=()):
     return FleetConfiguration(
         1, routes, {"app": PLAIN, "llm": MODEL}, organisations, 1000, 1000, 3.0, 15.0
     )
@@ -17,7 +17,7 @@
 class FindTest(unittest.TestCase):
     def setUp(self):
         self.table = RouteTable(
-            state(
+            configuration(
                 route(name="short", path_prefix="/a/"),
                 route(name="long", path_prefix="/a/b/"),
                 route(name="other", host="y.example", path_prefix="/"),
@@ -32,30 +32,30 @@
         self.assertEqual("long", self.found("x.example", "/a/b/c/d"))
         self.assertEqual("short", self.found("x.example", "/a/bc"))
 
-    def test_a_path_without_its_slash_is_not_of_the_prefix(self):
+    def test_a_prefix_matches_only_with_its_trailing_slash(self):
         self.assertIsNone(self.found("x.example", "/a"))
         self.assertEqual("short", self.found("x.example", "/a/b"))
 
-    def test_hosts_are_apart(self):
+    def test_routes_belong_to_their_host(self):
         self.assertEqual("other", self.found("y.example", "/a/b/c"))
         self.assertIsNone(self.found("z.example", "/a/"))
 
 
 class KeyTest(unittest.TestCase):
-    def test_a_key_names_its_organisation(self):
+    def test_organisation_of_a_key(self):
         organisation = Organisation("o", ("k1", "k2"), 0)
-        table = RouteTable(state(organisations=(organisation,)))
+        table = RouteTable(configuration(organisations=(organisation,)))
         self.assertTrue(table.needs_keys)
         self.assertEqual(organisation, table.organisation_of("k2"))
         self.assertIsNone(table.organisation_of("k3"))
         self.assertIsNone(table.organisation_of(""))
 
     def test_without_organisations_no_key_is_needed(self):
-        self.assertFalse(RouteTable(state()).needs_keys)
+        self.assertFalse(RouteTable(configuration()).needs_keys)
 
 
 class WeightTest(unittest.TestCase):
-    def test_services_share_by_their_weights(self):
+    def test_requests_are_split_by_weight(self):
         shares = (WeightedService("app", 90), WeightedService("llm", 10))
         source = random.Random(1)
         picked = [
@@ -63,7 +63,7 @@
         ]
         self.assertTrue(850 < picked.count("app") < 950)
 
-    def test_a_service_of_weight_zero_gets_nothing(self):
+    def test_a_service_of_weight_zero_gets_no_requests(self):
         shares = (WeightedService("app", 0), WeightedService("llm", 10))
         source = random.Random(1)
         picked = {
--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -1,4 +1,4 @@
-"""Tests of generations: events in order, copies, breaks."""
+"""Tests of relaying, resuming and moving generations."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def numbers(body: bytes) -> list[int]:
-    """Return the event numbers of a body."""
+    """Return the event ids in a body."""
     return [int(line[4:]) for line in body.split(b"\n") if line.startswith(b"id: ")]
 
 
@@ -18,7 +18,7 @@
     async def stream(self):
         return await self.ask("/stream/x", *STREAM_HEADERS)
 
-    async def test_events_come_once_and_in_order(self):
+    async def test_events_are_relayed_once_and_in_order(self):
         await self.add("llm", "e1")
         head, body = await self.stream()
         self.assertEqual(200, head.status)
@@ -27,7 +27,7 @@
         self.assertEqual(0, self.target("e1").reserved_tokens)
         self.assertEqual(0, self.target("e1").prefill_tokens)
 
-    async def test_a_run_has_a_backup_elsewhere(self):
+    async def test_a_run_has_a_backup_at_another_engine(self):
         engines = await self.add("llm", "e1", "e2")
         await self.stream()
         (used,) = [e for e in engines if e.requests]
@@ -36,7 +36,7 @@
         self.assertEqual(other.address.encode(), headers[b"x-endivesill-kv-backup"])
         self.assertEqual(0, self.target(other.identity).reserved_tokens)
 
-    async def test_a_run_goes_on_from_its_backup_when_its_engine_ends(self):
+    async def test_a_run_resumes_from_its_backup_when_its_engine_stops(self):
         engines = await self.add("llm", "e1", "e2")
         for engine in engines:
             engine.copies = {"a1"}
@@ -57,7 +57,7 @@
         self.assertEqual(b"3", resumed[0][b"last-event-id"])
         self.assertEqual(b"a1", resumed[0][b"kv-from"].rpartition(b"/")[2])
 
-    async def test_a_run_without_a_copy_breaks_visibly(self):
+    async def test_a_stream_without_a_copy_is_aborted(self):
         (engine,) = await self.add("llm", "e1")
         engine.break_after = 3
         connection = await self.connect()
@@ -67,7 +67,7 @@
             await connection.read_all()
         self.assertEqual(["broken"], self.outcomes())
 
-    async def test_a_copy_that_the_engine_does_not_have_is_no_second_run(self):
+    async def test_a_missing_copy_does_not_start_a_second_run(self):
         engines = await self.add("llm", "e1", "e2")
         for engine in engines:
             engine.break_after = 2
@@ -79,19 +79,19 @@
         plain = [r for e in engines for r in e.requests if b"kv-from" not in r[2]]
         self.assertEqual(1, len(plain))
 
-    async def test_an_engine_that_leaves_gives_its_run_to_another(self):
-        first, second, asking = await self.run_under_way()
+    async def test_a_run_resumes_from_a_copy_when_its_engine_leaves(self):
+        first, second, asking = await self.start_run()
         info = self.view.engines.pop("e1@1")
         self.table.update_engines()
-        await self.review_until(self.is_copied)
+        await self.notify_until(self.is_copied)
         first.break_after = 0
         _, body = await asking
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual(second.address, first.copy_orders[0]["target"])
         self.assertEqual(info.address, first.address)
 
-    async def run_under_way(self):
-        """Return two engines and a run of 40 events that is under way at the first."""
+    async def start_run(self):
+        """Return two engines and the task of a 40-event run at the first one."""
         (first,) = await self.add("llm", "e1")
         first.events = 40
         first.event_pause_s = 0.01
@@ -103,21 +103,21 @@
         return first, second, asking
 
     def is_copied(self):
-        """Tell whether the entry knows of a complete copy."""
+        """Tell whether the entry has logged the end of a copy order."""
         return any(name == "run-copied" for name, _ in self.lines)
 
-    async def review_until(self, condition):
-        """Let the runs be looked after until a condition holds."""
+    async def notify_until(self, condition):
+        """Notify the watchers of the target table until a condition holds."""
 
-        def review_and_ask():
+        def notify_and_check():
             self.table.notify()
             return condition()
 
-        await self.until(review_and_ask)
+        await self.until(notify_and_check)
 
-    async def run_at_an_engine_that_drains(self, *, has_notice: bool):
-        """Return what `run_under_way` does; the first engine drains."""
-        first, second, asking = await self.run_under_way()
+    async def start_run_at_draining_engine(self, *, has_notice: bool):
+        """Return the same as `start_run`, after the first engine has begun to drain."""
+        first, second, asking = await self.start_run()
         info = self.view.engines["e1@1"]
         self.view.engines["e1@1"] = attrs.evolve(
             info, is_draining=True, has_notice=has_notice
@@ -125,40 +125,40 @@
         self.table.update_engines()
         return first, second, asking
 
-    async def test_a_run_moves_while_its_engine_with_notice_still_runs(self):
-        first, second, asking = await self.run_at_an_engine_that_drains(has_notice=True)
-        await self.review_until(lambda: second.requests)
+    async def test_a_run_moves_before_its_engine_with_notice_stops(self):
+        first, second, asking = await self.start_run_at_draining_engine(has_notice=True)
+        await self.notify_until(lambda: second.requests)
         _, body = await asking
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual(1, first.left_early)
         self.assertEqual(1, len(second.requests))
-        # The copy is in use: an order to free it would end the run there.
+        # Releasing the copy in use would end the resumed run.
         self.assertEqual([], first.copy_releases)
 
     async def test_an_engine_that_drains_without_notice_keeps_its_runs(self):
-        first, second, asking = await self.run_at_an_engine_that_drains(
+        first, second, asking = await self.start_run_at_draining_engine(
             has_notice=False
         )
         self.target("e1").draining_since_s -= NOTICE_LAG_S
-        await self.review_until(asking.done)
+        await self.notify_until(asking.done)
         _, body = await asking
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual([], first.copy_orders)
         self.assertEqual([], second.requests)
 
-    async def test_a_copy_is_freed_when_there_is_no_notice(self):
-        first, second, asking = await self.run_at_an_engine_that_drains(
+    async def test_a_copy_is_released_when_no_notice_follows(self):
+        first, second, asking = await self.start_run_at_draining_engine(
             has_notice=False
         )
-        await self.review_until(self.is_copied)
+        await self.notify_until(self.is_copied)
         self.target("e1").draining_since_s -= NOTICE_LAG_S
-        await self.review_until(asking.done)
+        await self.notify_until(asking.done)
         await asking
         self.assertEqual([b"/kv-handle/h1"], first.copy_releases)
         self.assertEqual([], second.requests)
         self.assertEqual(0, self.target("e2").reserved_tokens)
 
-    async def test_a_caller_who_leaves_ends_the_run(self):
+    async def test_a_run_is_cancelled_when_its_caller_disconnects(self):
         (engine,) = await self.add("llm", "e1")
         engine.events = 10_000
         engine.event_pause_s = 0.01
@@ -170,14 +170,14 @@
         await self.until(lambda: not self.target("e1").requests)
         self.assertEqual(["caller-gone"], self.outcomes())
 
-    async def test_a_failure_before_the_stream_is_passed_on(self):
+    async def test_a_rejected_generation_is_refused(self):
         (engine,) = await self.add("llm", "e1")
         engine.not_run = True
         head, _ = await self.stream()
         self.assertEqual(503, head.status)
         self.assertEqual(0, self.target("e1").requests)
 
-    async def test_a_process_that_stops_takes_no_new_runs(self):
+    async def test_generations_are_refused_while_the_process_stops(self):
         (engine,) = await self.add("llm", "e1")
         self.forwarder.refuse_streams = True
         head, _ = await self.stream()
--- a/tests/test_forwarding_targets.py
+++ b/tests/test_forwarding_targets.py
@@ -1,60 +1,62 @@
-"""Tests of the table of targets: who may have work, rates and health."""
+"""Tests of the target table: eligibility, rate limits and outlier detection."""
 
 import unittest
 
 from endivesill.forwarding.health import MIN_RESPONSES, HealthRecord
 from endivesill.forwarding.targets import COLD_WINDOW_S, ResourceDemand
 from endivesill.timer import ManualTimer
-from tests.forwarding_fakes import engine, show, table_of
+from tests.forwarding_fakes import engine, make_table, set_engines
 
 
-class MayHaveWorkTest(unittest.TestCase):
+class AcceptsRequestsTest(unittest.TestCase):
     def setUp(self):
         self.timer = ManualTimer()
-        self.table = table_of(self.timer, engine("e1"), engine("e2", data_centre="b"))
+        self.table = make_table(self.timer, engine("e1"), engine("e2", data_centre="b"))
 
     def names(self, *excluded):
         return [t.info.identity for t in self.table.candidates("llm", excluded)]
 
-    def test_leaving_engines_get_nothing(self):
-        show(self.table, self.table._view, engine("e1", is_draining=True), engine("e2"))
+    def test_draining_engines_get_no_requests(self):
+        set_engines(
+            self.table, self.table._view, engine("e1", is_draining=True), engine("e2")
+        )
         self.assertEqual(["e2"], self.names())
 
-    def test_engines_of_an_emptied_data_centre_get_nothing(self):
+    def test_engines_of_an_evacuated_data_centre_get_no_requests(self):
         self.table._view.evacuated = frozenset({"b"})
         self.assertEqual(["e1"], self.names())
 
-    def test_an_engine_that_left_the_list_gets_nothing_while_runs_end_there(self):
+    def test_an_unlisted_engine_gets_no_requests_while_its_runs_end(self):
         target = self.table.find_all(["e1@1"])[0]
         target.reserve(ResourceDemand(10, 10))
-        show(self.table, self.table._view, engine("e2"))
+        set_engines(self.table, self.table._view, engine("e2"))
         self.assertFalse(self.table.accepts_requests(target))
         self.assertIn("e1@1", self.table.own_loads())
 
-    def test_an_engine_that_starts_again_is_another_target(self):
+    def test_a_restarted_engine_is_a_new_target(self):
         target = self.table.find_all(["e1@1"])[0]
         target.reserve(ResourceDemand(10, 10))
-        show(self.table, self.table._view, engine("e1", incarnation="e1@2"))
+        set_engines(self.table, self.table._view, engine("e1", incarnation="e1@2"))
         self.assertFalse(self.table.accepts_requests(target))
         self.assertEqual(0, self.table.find_all(["e1@2"])[0].requests)
 
-    def test_an_engine_that_the_leader_knows_first_is_taken_up(self):
+    def test_an_engine_learnt_from_the_leader_is_added(self):
         target = self.table.get_or_add(engine("e3"))
         self.assertIn("e3", self.names())
         self.assertIs(target, self.table.get_or_add(engine("e3")))
 
-    def test_a_resting_target_is_used_when_nothing_else_is_left(self):
+    def test_an_ejected_target_is_used_as_a_last_resort(self):
         target = self.table.find_all(["e1@1"])[0]
-        self.table.eject(target, 1.0, "as the test wants")
+        self.table.eject(target, 1.0, "set by the test")
         self.assertEqual(["e2"], self.names())
         other = self.table.find_all(["e2@1"])[0]
         self.assertEqual(["e1"], self.names(other))
 
 
 class ColdRateTest(unittest.IsolatedAsyncioTestCase):
-    async def test_no_second_sees_more_than_the_allowance(self):
+    async def test_the_limit_holds_in_every_second(self):
         timer = ManualTimer()
-        table = table_of(timer, engine("e1"))
+        table = make_table(timer, engine("e1"))
         target = table.find_all(["e1@1"])[0]
         send_times_s = []
         for _ in range(400):
@@ -67,9 +69,9 @@
             self.assertLessEqual(len(inside), 5)
         self.assertGreaterEqual(len(send_times_s), 15)
 
-    async def test_an_allowance_under_one_is_one_in_a_longer_time(self):
+    async def test_a_limit_below_one_uses_a_longer_window(self):
         timer = ManualTimer()
-        table = table_of(timer, engine("e1"))
+        table = make_table(timer, engine("e1"))
         target = table.find_all(["e1@1"])[0]
         table.note_send(target)
         await timer.advance(COLD_WINDOW_S + 0.1)
@@ -82,83 +84,88 @@
     def setUp(self):
         self.timer = ManualTimer()
         names = ("p1", "p2", "p3", "p4")
-        self.table = table_of(self.timer, *(engine(n, "app") for n in names))
+        self.table = make_table(self.timer, *(engine(n, "app") for n in names))
         self.targets = self.table.find_all([f"{n}@1" for n in names])
 
-    def play(self, shares, rounds=60):
-        """Give each target answers of which a share fails, in a fixed pattern."""
+    def record_responses(self, failure_rates, rounds=60):
+        """Record responses that fail at the given rates, in a fixed pattern."""
         for number in range(rounds):
-            for target, share in zip(self.targets, shares, strict=True):
-                good = int(number * share) == int((number + 1) * share)
-                self.table.note_outcome(target, good=good)
+            for target, failure_rate in zip(self.targets, failure_rates, strict=True):
+                succeeded = int(number * failure_rate) == int(
+                    (number + 1) * failure_rate
+                )
+                self.table.note_outcome(target, succeeded=succeeded)
 
-    def resting(self):
+    def ejected(self):
         now_s = self.timer.now_s()
         return [t.info.identity for t in self.targets if t.ejected_until_s > now_s]
 
-    def test_a_grey_target_rests(self):
-        """Replays a target that fails half its requests with good health checks."""
-        self.play((0.0, 0.5, 0.0, 0.0))
-        self.assertEqual(["p2"], self.resting())
+    def test_a_partially_failing_target_is_ejected(self):
+        """Guards against a target that fails half of its requests.
 
-    def test_failures_that_come_everywhere_eject_nobody(self):
-        self.play((0.14, 0.14, 0.14, 0.14))
-        self.assertEqual([], self.resting())
+        Its health checks pass, so that only the responses show the fault.
+        """
+        self.record_responses((0.0, 0.5, 0.0, 0.0))
+        self.assertEqual(["p2"], self.ejected())
 
-    def test_no_more_than_half_of_the_targets_rest(self):
-        self.play((0.0, 0.9, 0.9, 0.9))
-        self.assertEqual(2, len(self.resting()))
+    def test_failures_at_all_targets_eject_none(self):
+        self.record_responses((0.14, 0.14, 0.14, 0.14))
+        self.assertEqual([], self.ejected())
 
-    def test_a_silent_target_rests_before_its_requests_time_is_over(self):
-        """Replays a target that takes requests and answers none."""
+    def test_at_most_half_of_the_targets_are_ejected(self):
+        self.record_responses((0.0, 0.9, 0.9, 0.9))
+        self.assertEqual(2, len(self.ejected()))
+
+    def test_an_unresponsive_target_is_ejected_before_its_requests_time_out(self):
+        """Guards against a target that accepts requests and never responds."""
         target = self.targets[0]
         self.table.note_overdue(target)
-        self.assertEqual([], self.resting())
+        self.assertEqual([], self.ejected())
         self.table.note_overdue(target)
-        self.assertEqual(["p1"], self.resting())
+        self.assertEqual(["p1"], self.ejected())
 
-    def test_an_answer_shows_that_a_target_is_only_slow(self):
+    def test_a_slow_target_that_responds_is_not_ejected(self):
         target = self.targets[0]
         for _ in range(10):
             self.table.note_overdue(target)
-            self.table.note_outcome(target, good=True)
-        self.assertEqual([], self.resting())
+            self.table.note_outcome(target, succeeded=True)
+        self.assertEqual([], self.ejected())
 
-    def test_a_target_that_was_replaced_is_left_alone(self):
-        """Replays a list that still has an engine whose address another one has."""
+    def test_a_replaced_target_is_not_used_until_its_address_changes(self):
+        """Guards against a list that still has an engine whose address was reused."""
         target = self.targets[0]
         self.table.note_replaced(target)
         self.assertFalse(self.table.accepts_requests(target))
         self.table.update_engines()
         self.assertFalse(self.table.accepts_requests(target))
         moved = engine("p1", "app", address="10.0.0.9:1")
-        show(self.table, self.table._view, moved)
+        set_engines(self.table, self.table._view, moved)
         self.assertTrue(self.table.accepts_requests(target))
 
-    def test_refused_connections_rest_longer_each_time(self):
+    def test_refused_connections_double_the_ejection(self):
         target = self.targets[0]
         ejections_s = []
         for _ in range(5):
             self.table.note_no_connection(target, "refused")
             ejections_s.append(target.ejected_until_s - self.timer.now_s())
         self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], ejections_s)
-        self.table.note_outcome(target, good=True)
+        self.table.note_outcome(target, succeeded=True)
         self.table.note_no_connection(target, "refused")
         self.assertEqual(0.5, target.ejected_until_s - self.timer.now_s())
 
-    def test_an_engine_without_reports_gets_no_places(self):
+    def test_an_engine_without_reports_is_ejected(self):
         self.table.update_reports(lambda incarnation: None, {"p1@1"})
-        self.assertEqual(["p1"], self.resting())
+        self.assertEqual(["p1"], self.ejected())
         names = [t.info.identity for t in self.table.candidates("app", ())]
         self.assertEqual(["p2", "p3", "p4"], names)
 
-    def test_the_rest_grows_with_each_finding(self):
-        record, good = HealthRecord(), HealthRecord()
-        good.responses = MIN_RESPONSES
+    def test_consecutive_ejections_double(self):
+        record, healthy = HealthRecord(), HealthRecord()
+        healthy.responses = MIN_RESPONSES
         ejections_s = []
         while len(ejections_s) < 3:
-            record.record_response(good=False)
-            ejection_s = record.ejection_s([good])
+            record.record_response(succeeded=False)
+            ejection_s = record.ejection_s([healthy])
             if ejection_s:
                 ejections_s.append(ejection_s)
         self.assertEqual([2.0, 4.0, 8.0], ejections_s)
--- a/tests/test_forwarding_waiting.py
+++ b/tests/test_forwarding_waiting.py
@@ -1,4 +1,4 @@
-"""Tests of waiting for a place, refusing and coming back."""
+"""Tests of admission, refusals and the retry budget."""
 
 import asyncio
 import random
@@ -18,17 +18,17 @@
 from endivesill.forwarding.targets import ResourceDemand
 from endivesill.forwarding.waiting import AdmissionQueue, NoRoomError, PlacementRequest
 from endivesill.timer import ManualTimer
-from tests.forwarding_fakes import MODEL, engine, table_of
+from tests.forwarding_fakes import MODEL, engine, make_table
 from tests.http1_fakes import settle
 
 FULL = {"e1@1": EngineLoad(5, 33_000, 0)}
 FREE: dict[str, EngineLoad] = {}
 
 
-class AdmissionTest(unittest.IsolatedAsyncioTestCase):
+class AdmissionQueueTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.timer = ManualTimer()
-        self.table = table_of(self.timer, engine("e1"))
+        self.table = make_table(self.timer, engine("e1"))
         self.admission = AdmissionQueue(
             self.timer,
             self.table,
@@ -46,11 +46,11 @@
     def ask(self, **changes):
         return asyncio.ensure_future(self.admission.place(self.request(**changes)))
 
-    async def test_a_free_place_is_given_at_once(self):
+    async def test_a_request_is_placed_at_once_if_there_is_capacity(self):
         target = await self.admission.place(self.request())
         self.assertEqual(1, target.requests)
 
-    async def test_a_request_waits_for_room_and_gets_it(self):
+    async def test_a_queued_request_is_placed_when_capacity_is_released(self):
         self.table.update_loads(FULL)
         task = self.ask()
         await settle()
@@ -60,7 +60,7 @@
         self.assertEqual("e1", (await task).info.identity)
         self.assertEqual(0, self.admission.queue_length())
 
-    async def test_the_more_urgent_goes_first_then_who_comes_back(self):
+    async def test_queue_order_is_priority_then_retries_after_a_refusal(self):
         self.table.update_loads(FULL)
         order = []
 
@@ -79,7 +79,7 @@
         await asyncio.gather(*tasks)
         self.assertEqual(["check", "returned", "plan"], order)
 
-    async def test_a_wait_in_vain_ends_when_it_is_over(self):
+    async def test_a_queued_request_times_out(self):
         self.table.update_loads(FULL)
         task = self.ask(wait_s=0.5)
         await self.timer.advance(0.6)
@@ -88,7 +88,7 @@
         self.assertEqual(0, self.admission.queue_length())
         self.assertTrue(self.admission.is_congested("llm"))
 
-    async def test_a_caller_who_leaves_takes_no_place(self):
+    async def test_a_cancelled_request_is_not_placed(self):
         self.table.update_loads(FULL)
         task = self.ask()
         await settle()
@@ -98,7 +98,7 @@
         self.admission.admit_waiting()
         self.assertEqual(0, self.table.find_all(["e1@1"])[0].requests)
 
-    async def test_a_full_queue_refuses_at_once(self):
+    async def test_a_full_queue_refuses_requests(self):
         self.table.update_loads(FULL)
         tasks = [self.ask() for _ in range(20)]
         await settle()
@@ -110,7 +110,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_the_wait_is_told_from_the_places_given_lately(self):
+    def test_the_expected_wait_follows_from_the_placement_rate(self):
         rate = PlacementRate()
         for number in range(9):
             rate.note(number / 2)
@@ -118,62 +118,62 @@
         self.assertEqual(2.0, rate.per_s(4.25))
         self.assertEqual(2.0, expected_wait_s(3, 2.0))
 
-    def test_a_new_leader_refuses_nobody_for_want_of_a_rate(self):
+    def test_a_new_leader_without_a_rate_expects_no_wait(self):
         rate = PlacementRate()
         self.assertEqual(0.0, expected_wait_s(3, rate.per_s(0.0)))
         rate.note(0.0)
         self.assertEqual(0.0, expected_wait_s(3, rate.per_s(1.0)))
 
-    def test_callers_do_not_return_together_nor_after_very_long(self):
+    def test_retry_after_has_jitter_and_an_upper_bound(self):
         times = {retry_after_s(2.0, spread / 10) for spread in range(10)}
         self.assertEqual(10, len(times))
         self.assertLessEqual(retry_after_s(60.0, 1.0), 1.5 * MAX_RETRY_AFTER_S)
 
-    def test_callers_come_back_when_places_are_given_anew(self):
+    def test_retry_after_has_a_lower_bound(self):
         self.assertGreaterEqual(retry_after_s(0.1, 0.0), MIN_RETRY_AFTER_S)
 
-    def test_a_caller_with_little_time_comes_back_in_time(self):
+    def test_retry_after_leaves_time_for_the_retry(self):
         self.assertEqual(2.0, cap_retry_after_s(8.0, 6.0))
         self.assertEqual(8.0, cap_retry_after_s(8.0, 39.0))
         self.assertEqual(0.0, cap_retry_after_s(8.0, -1.0))
 
-    def test_a_session_comes_back_once(self):
-        returns = RefusedSessions()
-        returns.add("s", 0.0)
-        self.assertTrue(returns.consume("s", 2.0))
-        self.assertFalse(returns.consume("s", 2.0))
+    def test_a_refused_session_is_consumed_once(self):
+        sessions = RefusedSessions()
+        sessions.add("s", 0.0)
+        self.assertTrue(sessions.consume("s", 2.0))
+        self.assertFalse(sessions.consume("s", 2.0))
 
-    def test_an_old_refusal_is_forgotten(self):
-        returns = RefusedSessions()
-        returns.add("s", 0.0)
-        self.assertFalse(returns.consume("s", 60.0))
-        returns.add("t", 60.0)
-        self.assertEqual(1, len(returns._refused_s))
+    def test_refused_sessions_expire(self):
+        sessions = RefusedSessions()
+        sessions.add("s", 0.0)
+        self.assertFalse(sessions.consume("s", 60.0))
+        sessions.add("t", 60.0)
+        self.assertEqual(1, len(sessions._refused_s))
 
 
 class RetryBudgetTest(unittest.IsolatedAsyncioTestCase):
     def budget(self, timer, share):
         return RetryBudget(timer, 0.2, 54, 10.0, lambda: share)
 
-    async def test_all_entries_together_keep_the_bound_in_any_window(self):
-        """Replays an outage in which each request is repeated if it may be."""
+    async def test_the_fleet_wide_bound_holds_in_any_window(self):
+        """Guards against retry storms in an outage, where all requests are retried."""
         timer = ManualTimer()
         entries = [self.budget(timer, 1 / 7) for _ in range(7)]
-        requests, repeats = [], []
+        requests, retries = [], []
         for step in range(600):
             budget = entries[step % 7]
             budget.note_request("s")
             requests.append(timer.now_s())
             if budget.try_acquire("s"):
-                repeats.append(timer.now_s())
+                retries.append(timer.now_s())
             await timer.advance(0.05)
         for start_s in requests[::20]:
-            inside = [t for t in repeats if start_s <= t < start_s + 10]
+            inside = [t for t in retries if start_s <= t < start_s + 10]
             asked = [t for t in requests if start_s <= t < start_s + 10]
             self.assertLessEqual(len(inside), 0.2 * len(asked) + 54)
-        self.assertGreater(len(repeats), 30)
+        self.assertGreater(len(retries), 30)
 
-    async def test_an_entry_without_a_share_has_its_own_ratio_only(self):
+    async def test_an_entry_without_a_share_has_no_slack(self):
         timer = ManualTimer()
         budget = self.budget(timer, 0.0)
         self.assertFalse(budget.try_acquire("s"))
