--- a/endivesill/fleet/engine_list.py
+++ b/endivesill/fleet/engine_list.py
@@ -66,15 +66,15 @@
         raise NotImplementedError
 
 
-def list_to_message(reading: EngineListSnapshot, now_s: float) -> Message:
+def list_to_message(snapshot: EngineListSnapshot, now_s: float) -> Message:
     """Return a snapshot as JSON, with the remaining cold times as of now."""
-    age_s = now_s - reading.read_s
+    age_s = now_s - snapshot.read_s
     rows = []
-    for engine in reading.engines.values():
+    for engine in snapshot.engines.values():
         row = attrs.asdict(engine)
         row["cold_s"] = round(max(0.0, engine.cold_s - age_s), 3)
         rows.append(row)
-    return {"stamp": reading.stamp, "engines": rows}
+    return {"stamp": snapshot.stamp, "engines": rows}
 
 
 class EngineListReader:
--- a/endivesill/fleet/sync_client.py
+++ b/endivesill/fleet/sync_client.py
@@ -98,7 +98,7 @@
         self._grants_seen = 0
         self.entry_id = uuid.uuid4().hex[:12]
         self.leader: str | None = None
-        self._positions = itertools.count()
+        self._attempts = itertools.count()
         self._connected = False
         self.leader_lost = Signal()
         self.view = FleetView()
@@ -157,7 +157,7 @@
 
     def _next_address(self) -> str:
         addresses = list(dict.fromkeys([*self._control_addresses, *self._seeds]))
-        return addresses[next(self._positions) % len(addresses)]
+        return addresses[next(self._attempts) % len(addresses)]
 
     def _sync_request(self) -> Message:
         view = self.view
--- a/endivesill/forwarding/placement.py
+++ b/endivesill/forwarding/placement.py
@@ -26,15 +26,15 @@
 MAX_PREFILL_BACKLOG_S = 1.3
 # Time per output token at an engine that runs several generations.
 DECODE_S_PER_TOKEN = 0.01
-# Share of its final output that a generation holds in the KV cache, averaged over its
-# run. The generations of an engine are at different points of their runs.
+# Fraction of its final output that a generation holds in the KV cache, averaged over
+# its run. The generations of an engine are at different points of their runs.
 MEAN_OUTPUT_FRACTION = 0.5
 # Expected output without an estimate by the caller, as a fraction of the longest.
 DEFAULT_OUTPUT_FRACTION = 0.5
 # Cost of each request that already runs at an engine, as extra wait: every further
-# request lengthens the decode step by about this much over a whole answer.
+# request lengthens the decode steps by about this much over a whole generation.
 RUNNING_COST_S = 0.01
-# The same for a plain target whose slots are all in use.
+# Cost of a plain target whose slots are all in use; proportional to its requests.
 PLAIN_FULL_COST_S = 0.06
 # Penalty for a target in another data centre, since traffic between data centres is
 # charged for.
@@ -108,7 +108,10 @@
 def cost_s(
     target: Target, service: Service, demand: ResourceDemand, data_centre: str
 ) -> float:
-    """Return the expected time to the first byte, with penalties for load, distance."""
+    """Return the cost of placing a request at a target, in seconds.
+
+    It is the expected time to the first byte, with penalties for load and distance.
+    """
     cost = PLAIN_FULL_COST_S * target.total_requests / max(1, target.info.slots)
     if service.model_engine is not None:
         prefill_tokens = target.total_prefill_tokens + demand.prompt_tokens
@@ -205,7 +208,7 @@
     source: Target,
     memory_fraction: float,
 ) -> Target | None:
-    """Return the target with the most free KV cache, or None if none has room."""
+    """Return the target with the least reserved KV cache, or None if none has room."""
     assert service.model_engine is not None
     limit = (
         memory_fraction * service.model_engine.capacity_tokens - demand.memory_tokens
--- a/endivesill/forwarding/run_copy.py
+++ b/endivesill/forwarding/run_copy.py
@@ -17,7 +17,7 @@
 from endivesill.http1 import ConnectionPool, UpstreamError
 from endivesill.timer import TimerService
 
-__all__ = ["CopyFailedError", "RunCopy", "RunCopier"]
+__all__ = ["CopyRefusedError", "RunCopy", "RunCopier"]
 
 # Some thousand tokens take 0.2 s on an idle link; an engine copies its runs one after
 # another.
@@ -28,7 +28,7 @@
 RELEASE_TIMEOUT_S = 1.0
 
 
-class CopyFailedError(errors.EndivesillError):
+class CopyRefusedError(errors.EndivesillError):
     """An engine did not make or release a copy."""
 
 
@@ -57,21 +57,21 @@
           destination: the engine that receives the copy.
 
         Raises:
-          CopyFailedError: no copy was made.
+          CopyRefusedError: no copy was made.
         """
         order = self._protocol.encode_copy_order(
             source.info.address, call.info.attempt_id, destination.info.address
         )
         status, body = await self._exchange(source, order, COPY_TIMEOUT_S)
         if status != 200:
-            raise CopyFailedError(f"status {status}")
+            raise CopyRefusedError(f"status {status}")
         return self._protocol.decode_copy_name(body)
 
     async def release(self, source: Target, name: str) -> None:
         """Release a copy that is not needed any more.
 
         Raises:
-          CopyFailedError: the engine did not answer.
+          CopyRefusedError: the engine did not answer.
         """
         order = self._protocol.encode_copy_release(source.info.address, name)
         await self._exchange(source, order, RELEASE_TIMEOUT_S)
@@ -84,7 +84,7 @@
                 self._pool.exchange(source.info.address, order), timeout_s
             )
         except (UpstreamError, errors.DeadlineExceededError) as error:
-            raise CopyFailedError(str(error)) from None
+            raise CopyRefusedError(str(error)) from None
         return head.status, body
 
 
@@ -159,7 +159,7 @@
                 self._call, self._source, self.destination
             )
             outcome = "copied"
-        except CopyFailedError as error:
+        except CopyRefusedError as error:
             self.has_failed = True
             outcome = str(error)
         events.emit(
@@ -174,7 +174,7 @@
     async def _release(self) -> None:
         try:
             await self._copier.release(self._source, self._handle)
-        except CopyFailedError as error:
+        except CopyRefusedError as error:
             # Engines discard unused copies after some seconds.
             events.emit(
                 RUN_COPIED,
--- a/endivesill/forwarding/waiting.py
+++ b/endivesill/forwarding/waiting.py
@@ -18,7 +18,7 @@
 
 __all__ = ["AdmissionQueue", "NoRoomError", "PlacementRequest"]
 
-# Queue length for each target of a service; requests beyond it are refused.
+# Queued requests per target of a service, beyond which new ones are refused.
 MAX_QUEUED_PER_TARGET = 16
 # How long a service counts as congested after a request was queued; about the time in
 # which half of the running generations end.
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's engines, on loopback."""
+"""A stand-in on loopback for the platform's engines."""
 
 from __future__ import annotations
 
@@ -12,32 +12,41 @@
 
 
 class StandinEngine:
-    """One engine; its behaviour is set by attributes.
+    """An engine whose behaviour is set by its attributes.
 
     Attributes:
-      answers: statuses of the next plain answers; 200 after them.
-      streams: numbers of events of the next streams; None breaks off after
-        `break_after` events.
-      requests: what has come, as (method, target, headers by lower name, body).
-      copies: names of the copies that can be gone on from.
+      statuses: statuses of the next plain responses; 200 after them.
+      events: events of a stream.
+      break_after: event within whose successor a stream breaks off; None for never.
+      event_pause_s: time between two events.
+      rejects: whether requests are rejected as not run.
+      sends_foreign_response: whether a response to another request comes first.
+      omits_length: whether plain responses end with the connection.
+      is_hanging: whether requests are never answered.
+      requests: requests received, as (method, target, headers by lower-case name,
+        body).
+      copies: names of the copies that can be resumed from.
+      copy_orders: bodies of the orders to copy a run.
+      copy_releases: paths of the orders to release a copy.
+      cancelled_requests: requests whose caller disconnected early.
     """
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
-        self.answers: list[int] = []
+        self.statuses: list[int] = []
         self.events = 5
         self.break_after: int | None = None
         self.event_pause_s = 0.0
-        self.not_run = False
-        self.foreign_first = False
-        self.unframed = False
-        self.hangs = False
+        self.rejects = False
+        self.sends_foreign_response = False
+        self.omits_length = False
+        self.is_hanging = False
         self.requests: list[tuple[str, bytes, dict[bytes, bytes], bytes]] = []
         self.copies: set[str] = set()
         self.copy_orders: list[dict] = []
         self.copy_releases: list[bytes] = []
-        self.left_early = 0
-        self._listener = HttpListener(SystemTimer(), "127.0.0.1:0", self._answer)
+        self.cancelled_requests = 0
+        self._listener = HttpListener(SystemTimer(), "127.0.0.1:0", self._respond)
 
     async def start(self) -> None:
         await self._listener.start()
@@ -49,7 +58,7 @@
     def address(self) -> str:
         return self._listener.address
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _respond(self, exchange: Exchange) -> None:
         headers = {name.lower(): value for name, value in exchange.headers}
         if exchange.target == b"/kv-move":
             self.copy_orders.append(json.loads(exchange.body))
@@ -67,24 +76,24 @@
         expected = headers.get(b"x-endivesill-expected-instance")
         if expected and expected != self.identity.encode():
             exchange.respond(421, [attempt])
-        elif self.not_run:
+        elif self.rejects:
             exchange.respond(503, [attempt, (b"X-Endivesill-Not-Executed", b"1")])
-        elif self.hangs:
+        elif self.is_hanging:
             await exchange.gone.wait()
-            self.left_early += 1
+            self.cancelled_requests += 1
         elif b"x-endivesill-token-counts" in headers:
-            await self._stream(exchange, headers, attempt)
+            await self._respond_stream(exchange, headers, attempt)
         else:
-            self._plain(exchange, attempt)
+            self._respond_plain(exchange, attempt)
 
-    def _plain(self, exchange: Exchange, attempt) -> None:
-        if self.foreign_first:
+    def _respond_plain(self, exchange: Exchange, attempt) -> None:
+        if self.sends_foreign_response:
             other = (b"X-Endivesill-Request-Attempt-Id", b"someone-else")
             exchange.respond(200, [other, SEAL], b"not yours")
             exchange.finished = False
-        status = self.answers.pop(0) if self.answers else 200
+        status = self.statuses.pop(0) if self.statuses else 200
         body = self.identity.encode()
-        if self.unframed:
+        if self.omits_length:
             exchange.answered = True
             exchange.connection.transport.write(
                 b"HTTP/1.1 200 OK\r\n" + attempt[0] + b": " + attempt[1] + b"\r\n"
@@ -94,7 +103,7 @@
             return
         exchange.respond(status, [attempt, SEAL], body)
 
-    async def _stream(self, exchange: Exchange, headers, attempt) -> None:
+    async def _respond_stream(self, exchange: Exchange, headers, attempt) -> None:
         first = 1
         source = headers.get(b"kv-from", b"").decode()
         if source:
@@ -111,7 +120,7 @@
                 exchange.abort()
                 return
             if exchange.gone.is_set():
-                self.left_early += 1
+                self.cancelled_requests += 1
                 return
             exchange.send(b"id: %d\ndata: t%d\n\n" % (number, number))
             if self.event_pause_s:
--- a/tests/test_forwarding_log.py
+++ b/tests/test_forwarding_log.py
@@ -32,7 +32,7 @@
     async def test_lines_of_a_retried_request(self):
         engines = await self.add("app", "s1", "s2")
         for engine in engines:
-            engine.answers = [500]
+            engine.statuses = [500]
         await self.ask("/safe/x")
         self.assertEqual(
             ["request-placed", "attempt-failed", "request-placed", "request-ended"],
--- a/tests/test_forwarding_placement.py
+++ b/tests/test_forwarding_placement.py
@@ -59,7 +59,7 @@
         self.assertIsNone(self.choose(targets))
 
     def test_placements_since_the_last_report_are_added_to_it(self):
-        """Guards against overcommitting an engine that reports more than is reserved."""
+        """Guards against overcommitting an engine that uses more than is reserved."""
         table = make_table(self.timer, engine("e1"))
         target = table.find_all(["e1@1"])[0]
         target.report = EngineReport(27_000, 0, False, False, self.timer.now_s())
--- a/tests/test_forwarding_plain.py
+++ b/tests/test_forwarding_plain.py
@@ -22,7 +22,7 @@
 
     async def test_the_response_is_forwarded_with_its_seal(self):
         (engine,) = await self.add("app", "p1")
-        engine.answers = [418]
+        engine.statuses = [418]
         head, body = await self.ask("/unsafe/x")
         self.assertEqual((418, b"p1"), (head.status, body))
         self.assertEqual(b"1.2.3", head.header(b"x-endivesill-response-seal"))
@@ -66,7 +66,7 @@
 
     async def test_a_response_without_a_length_is_forwarded_completely(self):
         (engine,) = await self.add("app", "p1")
-        engine.unframed = True
+        engine.omits_length = True
         head, body = await self.ask("/unsafe/x")
         self.assertEqual((200, b"p1"), (head.status, body))
         self.assertEqual(b"2", head.header(b"content-length"))
@@ -76,16 +76,16 @@
     async def test_a_failed_safe_request_is_retried_at_another_target(self):
         engines = await self.add("app", "p1", "p2")
         for engine in engines:
-            engine.answers = [500]
+            engine.statuses = [500]
         head, _ = await self.ask("/safe/x", method="GET", body=b"")
         self.assertEqual(500, head.status)
         self.assertEqual([1, 1], [len(e.requests) for e in engines])
 
     async def test_a_retry_of_a_safe_request_succeeds(self):
         one, two = await self.add("app", "p1", "p2")
-        one.hangs = two.hangs = False
-        one.answers = [500]
-        two.answers = []
+        one.is_hanging = two.is_hanging = False
+        one.statuses = [500]
+        two.statuses = []
         heads = [
             (await self.ask("/safe/x", method="GET", body=b""))[0].status
             for _ in range(4)
@@ -95,14 +95,14 @@
     async def test_an_unsafe_request_that_may_have_run_is_not_retried(self):
         engines = await self.add("app", "p1", "p2")
         for engine in engines:
-            engine.answers = [500]
+            engine.statuses = [500]
         head, _ = await self.ask("/unsafe/x")
         self.assertEqual(500, head.status)
         self.assertEqual(1, sum(len(e.requests) for e in engines))
 
     async def test_an_unsafe_request_that_was_not_run_is_retried(self):
         one, _ = await self.add("app", "p1", "p2")
-        one.not_run = True
+        one.rejects = True
         for _ in range(4):
             self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
 
@@ -115,21 +115,21 @@
 
     async def test_a_request_that_no_target_ran_is_refused(self):
         one, two = await self.add("app", "p1", "p2")
-        one.not_run = two.not_run = True
+        one.rejects = two.rejects = True
         head, _ = await self.ask("/unsafe/x")
         self.assertEqual(503, head.status)
         self.assertTrue(head.header(b"retry-after"))
 
     async def test_an_unsafe_request_that_times_out_has_an_unknown_outcome(self):
         (engine,) = await self.add("app", "p1")
-        engine.hangs = True
+        engine.is_hanging = True
         head, _ = await self.ask("/short/x")
         self.assertEqual(504, head.status)
         self.assertEqual(["unknown"], self.outcomes())
 
     async def test_a_response_to_another_request_is_skipped(self):
         (engine,) = await self.add("app", "p1")
-        engine.foreign_first = True
+        engine.sends_foreign_response = True
         head, body = await self.ask("/unsafe/x")
         self.assertEqual((200, b"p1"), (head.status, body))
 
@@ -155,11 +155,11 @@
 
     async def test_a_safe_request_is_cancelled_when_its_caller_disconnects(self):
         (engine,) = await self.add("app", "p1")
-        engine.hangs = True
+        engine.is_hanging = True
         connection = await self.connect()
         connection.send(request("/safe/x", method="GET", body=b""))
         await self.until(lambda: engine.requests)
         connection.abort()
-        await self.until(lambda: engine.left_early)
+        await self.until(lambda: engine.cancelled_requests)
         self.assertEqual(["caller-gone"], self.outcomes())
         self.assertEqual(0, self.target("p1").requests)
--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -130,7 +130,7 @@
         await self.notify_until(lambda: second.requests)
         _, body = await asking
         self.assertEqual(list(range(1, 41)), numbers(body))
-        self.assertEqual(1, first.left_early)
+        self.assertEqual(1, first.cancelled_requests)
         self.assertEqual(1, len(second.requests))
         # Releasing the copy in use would end the resumed run.
         self.assertEqual([], first.copy_releases)
@@ -166,13 +166,13 @@
         connection.send(request("/stream/x", *STREAM_HEADERS))
         await connection.head()
         connection.abort()
-        await self.until(lambda: engine.left_early)
+        await self.until(lambda: engine.cancelled_requests)
         await self.until(lambda: not self.target("e1").requests)
         self.assertEqual(["caller-gone"], self.outcomes())
 
     async def test_a_rejected_generation_is_refused(self):
         (engine,) = await self.add("llm", "e1")
-        engine.not_run = True
+        engine.rejects = True
         head, _ = await self.stream()
         self.assertEqual(503, head.status)
         self.assertEqual(0, self.target("e1").requests)
