--- a/endivesill/forwarding/health.py
+++ b/endivesill/forwarding/health.py
@@ -12,9 +12,8 @@
 MIN_RESPONSES = 5
 # A target is an outlier if its failure rate exceeds that of its best peer by this much;
 # some requests fail at any target.
-MAX_EXCESS_FAILURE_RATE = 0.25
-# Consecutive overdue responses before a target is ejected; a single one may be slow
-# work.
+OUTLIER_EXCESS_FAILURE_RATE = 0.25
+# Overdue responses in a row before a target is ejected; a single one may be slow work.
 MAX_OVERDUE = 2
 # Duration of the first ejection; it doubles with each one that follows.
 BASE_EJECTION_S = 2.0
@@ -66,7 +65,7 @@
             return 0.0
         seen = [p.failure_rate for p in peers if p.responses >= MIN_RESPONSES]
         baseline = min(seen, default=0.0)
-        if self.failure_rate - baseline < MAX_EXCESS_FAILURE_RATE:
+        if self.failure_rate - baseline < OUTLIER_EXCESS_FAILURE_RATE:
             return 0.0
         self.failure_rate = baseline
         return self._next_ejection_s()
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -18,7 +18,7 @@
 
 __all__ = ["ResourceDemand", "Target", "TargetTable"]
 
-# First ejection of a target that refuses connections or whose list entry may be stale;
+# First ejection of a target that cannot be connected to or does not report its load;
 # about two reads of the platform's list.
 CONNECT_EJECTION_S = 0.5
 # The ejection doubles with each consecutive refused connection, up to this.
@@ -194,10 +194,10 @@
             if target.listed:
                 self._by_service.setdefault(target.info.service, []).append(target)
 
-    def update_loads(self, remote_load: dict[str, EngineLoad]) -> None:
+    def update_loads(self, remote_loads: dict[str, EngineLoad]) -> None:
         """Apply the load of the other entries, by incarnation."""
         for incarnation, target in self._targets.items():
-            target.remote_load = remote_load.get(incarnation, NO_LOAD)
+            target.remote_load = remote_loads.get(incarnation, NO_LOAD)
 
     def update_reports(
         self,
--- a/tests/forwarding_case.py
+++ b/tests/forwarding_case.py
@@ -105,7 +105,7 @@
         for engine in self.engines:
             await engine.stop()
 
-    async def add(self, service: str, *names: str) -> list[StandinEngine]:
+    async def add_engines(self, service: str, *names: str) -> list[StandinEngine]:
         """Start engines and add them to the engine list."""
         added = []
         for name in names:
@@ -127,14 +127,16 @@
         pool = ConnectionPool(self.timer, 0.5, 10.0)
         return await pool.acquire(self.listener.address)
 
-    async def ask(self, path: str, *headers, method="POST", body=b"hello", on=None):
+    async def send_request(
+        self, path: str, *headers, method="POST", body=b"hello", on=None
+    ):
         """Send a request as a caller; return the head and the body of the response."""
         connection = on or await self.connect()
         connection.send(request(path, *headers, method=method, body=body))
         head = await connection.head()
         return head, await connection.read_all()
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         """Wait for a condition; fail after 5 s."""
         for _ in range(500):
             if condition():
--- a/tests/test_fleet_departures.py
+++ b/tests/test_fleet_departures.py
@@ -46,67 +46,67 @@
     def _note_change(self):
         self.changes += 1
 
-    async def check(self, **healthy):
+    async def advance_check(self, **healthy):
         self.source.healthy = healthy
         await self.timer.advance(CHECK_PERIOD_S)
         await settle()
 
     async def test_a_failing_health_check_marks_an_engine_as_leaving(self):
-        await self.check(e1=True, e2=True)
+        await self.advance_check(e1=True, e2=True)
         self.assertEqual(frozenset(), self.detector.leaving())
-        await self.check(e1=False, e2=True)
+        await self.advance_check(e1=False, e2=True)
         self.assertEqual({"e1@1"}, self.detector.leaving())
         self.assertEqual(1, self.changes)
 
     async def test_the_first_check_of_a_new_engine_counts(self):
-        await self.check(e1=True, e2=True)
+        await self.advance_check(e1=True, e2=True)
         self.engines.append(engine("e3"))
-        await self.check(e1=True, e2=True, e3=False)
+        await self.advance_check(e1=True, e2=True, e3=False)
         self.assertEqual({"e3@1"}, self.detector.leaving())
 
     async def test_failures_are_ignored_until_an_engine_of_the_service_has_passed(self):
         self.engines.append(engine("a1", "app"))
-        await self.check(e1=False, e2=False, a1=True)
+        await self.advance_check(e1=False, e2=False, a1=True)
         self.assertEqual(frozenset(), self.detector.leaving())
 
     async def test_an_unconfirmed_failure_expires(self):
-        await self.check(e1=True, e2=True)
-        await self.check(e1=False, e2=True)
+        await self.advance_check(e1=True, e2=True)
+        await self.advance_check(e1=False, e2=True)
         self.assertEqual({"e1@1"}, self.detector.leaving())
         for _ in range(int(CONFIRMED_AFTER_S / CHECK_PERIOD_S) + 1):
-            await self.check(e1=False, e2=True)
+            await self.advance_check(e1=False, e2=True)
         self.assertEqual(frozenset(), self.detector.leaving())
         self.assertEqual(2, self.changes)
         # A failure counts again once the engine has passed a check.
-        await self.check(e1=True, e2=True)
-        await self.check(e1=False, e2=True)
+        await self.advance_check(e1=True, e2=True)
+        await self.advance_check(e1=False, e2=True)
         self.assertEqual({"e1@1"}, self.detector.leaving())
 
     async def test_no_response_is_not_a_departure(self):
-        await self.check(e1=True, e2=True)
-        await self.check(e2=True)
+        await self.advance_check(e1=True, e2=True)
+        await self.advance_check(e2=True)
         self.assertEqual(frozenset(), self.detector.leaving())
 
     async def test_an_engine_that_recovers_is_no_longer_leaving(self):
-        await self.check(e1=True)
-        await self.check(e1=False)
+        await self.advance_check(e1=True)
+        await self.advance_check(e1=False)
         # Checks go on although the list now shows the engine as draining.
         self.engines[0] = engine("e1", is_draining=True)
-        await self.check(e1=True)
+        await self.advance_check(e1=True)
         self.assertEqual(frozenset(), self.detector.leaving())
         self.assertEqual(2, self.changes)
 
     async def test_an_engine_that_drains_in_the_list_is_not_checked(self):
         self.engines[0] = engine("e1", is_draining=True)
         self.source.checks.clear()
-        await self.check(e2=True)
+        await self.advance_check(e2=True)
         self.assertEqual(["e2"], self.source.checks)
 
     async def test_a_restarted_engine_is_not_leaving(self):
-        await self.check(e1=True)
-        await self.check(e1=False)
+        await self.advance_check(e1=True)
+        await self.advance_check(e1=False)
         self.engines[0] = engine("e1", incarnation="e1@2")
-        await self.check(e1=True)
+        await self.advance_check(e1=True)
         self.assertEqual(frozenset(), self.detector.leaving())
 
 
--- a/tests/test_forwarding_fair_queue.py
+++ b/tests/test_forwarding_fair_queue.py
@@ -16,40 +16,40 @@
     def push(self, flow, value, cost=1.0, priority=1):
         return self.queue.push(priority, flow, cost, value)
 
-    def taken(self, count=None):
+    def pop_values(self, count=None):
         count = len(self.queue) if count is None else count
         return [self.queue.pop() for _ in range(count)]
 
     def test_higher_priority_is_served_first(self):
         self.push(LARGE, "plan")
         self.push(LARGE, "check", cost=9.0, priority=0)
-        self.assertEqual(["check", "plan"], self.taken())
+        self.assertEqual(["check", "plan"], self.pop_values())
 
     def test_a_heavy_organisation_does_not_delay_another(self):
         for number in range(20):
             self.push(LARGE, f"l{number}")
         self.push(SMALL, "s0")
         self.push(SMALL, "s1")
-        self.assertEqual(["l0", "s0", "l1", "s1"], self.taken(4))
+        self.assertEqual(["l0", "s0", "l1", "s1"], self.pop_values(4))
 
     def test_retries_and_first_attempts_get_equal_shares(self):
         for number in range(4):
             self.push(LARGE, f"first{number}")
         for number in range(4):
             self.push(LARGE_REFUSED, f"back{number}")
-        self.assertEqual(["back0", "first0", "back1", "first1"], self.taken(4))
+        self.assertEqual(["back0", "first0", "back1", "first1"], self.pop_values(4))
 
     def test_lower_cost_is_served_first(self):
         self.push(LARGE, "long", cost=1.5)
         self.push(SMALL, "short", cost=0.2)
-        self.assertEqual(["short", "long"], self.taken())
+        self.assertEqual(["short", "long"], self.pop_values())
 
     def test_a_costly_request_does_not_starve(self):
         self.push(LARGE, "long", cost=1.5)
         order = []
         for number in range(40):
             self.push(Flow(f"o{number}", False), f"s{number}", cost=0.2)
-            order += self.taken(1)
+            order += self.pop_values(1)
             if order[-1] == "long":
                 break
         # It is served once the other flows have used as much engine time.
@@ -59,18 +59,18 @@
     def test_an_idle_flow_accumulates_no_credit(self):
         for number in range(6):
             self.push(LARGE, f"l{number}")
-        self.taken(4)
+        self.pop_values(4)
         for number in range(4):
             self.push(SMALL, f"s{number}")
-        self.assertEqual(["l4", "s0", "l5", "s1"], self.taken(4))
+        self.assertEqual(["l4", "s0", "l5", "s1"], self.pop_values(4))
 
     def test_an_empty_queue_resets_the_finish_tags(self):
         for number in range(9):
             self.push(LARGE, f"l{number}")
-        self.taken()
+        self.pop_values()
         self.push(LARGE, "l9")
         self.push(SMALL, "s0")
-        self.assertEqual(["l9", "s0"], self.taken())
+        self.assertEqual(["l9", "s0"], self.pop_values())
 
     def test_count_of_requests_ahead(self):
         self.push(LARGE, "a")
@@ -86,4 +86,4 @@
         self.push(LARGE, "b")
         self.queue.remove(first)
         self.queue.remove(first)
-        self.assertEqual(["b"], self.taken())
+        self.assertEqual(["b"], self.pop_values())
--- a/tests/test_forwarding_log.py
+++ b/tests/test_forwarding_log.py
@@ -15,8 +15,8 @@
         return found
 
     async def test_lines_of_an_answered_request(self):
-        await self.add("app", "s1")
-        await self.ask("/safe/x")
+        await self.add_engines("app", "s1")
+        await self.send_request("/safe/x")
         self.assertEqual(["request-placed", "request-ended"], self.kinds())
         placed = self.fields("request-placed")
         self.assertEqual(
@@ -30,33 +30,35 @@
         )
 
     async def test_lines_of_a_retried_request(self):
-        engines = await self.add("app", "s1", "s2")
+        engines = await self.add_engines("app", "s1", "s2")
         for engine in engines:
             engine.statuses = [500]
-        await self.ask("/safe/x")
+        await self.send_request("/safe/x")
         self.assertEqual(
             ["request-placed", "attempt-failed", "request-placed", "request-ended"],
             self.kinds(),
         )
 
     async def test_lines_of_a_refused_request(self):
-        await self.ask("/safe/x")
+        await self.send_request("/safe/x")
         self.assertEqual(["request-refused"], self.kinds())
         refused = self.fields("request-refused")
         self.assertEqual(503, refused["status"])
         self.assertIn("waited_s", refused)
 
     async def test_lines_of_a_resumed_stream(self):
-        engines = await self.add("llm", "e1", "e2")
+        engines = await self.add_engines("llm", "e1", "e2")
         for engine in engines:
             engine.copies = {"a1"}
             engine.break_after = 3
-        asking = asyncio.ensure_future(self.ask("/stream/x", *STREAM_HEADERS))
-        await self.until(lambda: any(engine.requests for engine in engines))
+        response_task = asyncio.ensure_future(
+            self.send_request("/stream/x", *STREAM_HEADERS)
+        )
+        await self.wait_until(lambda: any(engine.requests for engine in engines))
         for engine in engines:
             if not engine.requests:
                 engine.break_after = None
-        await asking
+        await response_task
         self.assertEqual(
             ["request-placed", "attempt-failed", "stream-resumed", "request-ended"],
             self.kinds(),
@@ -64,9 +66,9 @@
         self.assertEqual(1, self.fields("request-ended")["resumes"])
 
     async def test_keys_are_not_logged(self):
-        await self.add("app", "s1")
-        await self.ask("/keyed/x", (b"Api-Key", b"k1"))
-        await self.ask("/keyed/x", (b"Api-Key", b"stolen"))
+        await self.add_engines("app", "s1")
+        await self.send_request("/keyed/x", (b"Api-Key", b"k1"))
+        await self.send_request("/keyed/x", (b"Api-Key", b"stolen"))
         for _, fields in self.lines:
             self.assertNotIn("k1", map(str, fields.values()))
             self.assertNotIn("stolen", map(str, fields.values()))
--- a/tests/test_forwarding_placement_service.py
+++ b/tests/test_forwarding_placement_service.py
@@ -31,12 +31,12 @@
             lambda: self.leads,
             random.Random(1),
         )
-        self.seen = dict.fromkeys(ENTRIES, 0)
+        self.grants_seen = dict.fromkeys(ENTRIES, 0)
 
     def message(self, entry=ENTRIES[0], **changes):
         return {
             "entry": entry,
-            "grants_seen": self.seen[entry],
+            "grants_seen": self.grants_seen[entry],
             "loads": {},
             "service": "llm",
             "priority": 1,
@@ -52,20 +52,22 @@
             **changes,
         }
 
-    async def ask(self, **changes):
+    async def request_placement(self, **changes):
         return await self.placement_service.handle(self.message(**changes))
 
-    async def fill(self):
+    async def fill_engines(self):
         """Request placements until none is granted; return how many were."""
         placed = 0
-        while "target" in await self.ask(patience_s=0.0, session=f"f{placed}"):
+        while "target" in await self.request_placement(
+            patience_s=0.0, session=f"f{placed}"
+        ):
             placed += 1
         return placed
 
 
 class PlaceTest(PlacementServiceTestCase):
     async def test_a_placement_has_a_target_and_a_backup(self):
-        answer = await self.ask()
+        answer = await self.request_placement()
         names = {answer["target"]["identity"], answer["backup"]["identity"]}
         self.assertEqual({"e1", "e2"}, names)
         self.assertEqual(1, answer["number"])
@@ -73,7 +75,7 @@
     async def test_simultaneous_requests_do_not_overcommit_engines(self):
         """Guards against seven entries filling the same new engine at once."""
         answers = await asyncio.gather(
-            *(self.ask(entry=entry, patience_s=0.0) for entry in ENTRIES)
+            *(self.request_placement(entry=entry, patience_s=0.0) for entry in ENTRIES)
         )
         placed = [a["target"]["identity"] for a in answers if "target" in a]
         for name in ("e1", "e2"):
@@ -85,31 +87,35 @@
         self.assertTrue(any("refused" in answer for answer in answers))
 
     async def test_a_grant_counts_until_it_expires(self):
-        before = await self.fill()
+        before = await self.fill_engines()
         self.assertGreater(before, 0)
         self.placement_service.update()
-        self.assertIn("refused", await self.ask(session="one", patience_s=0.0))
+        self.assertIn(
+            "refused", await self.request_placement(session="one", patience_s=0.0)
+        )
         await self.timer.advance(1.1)
         self.placement_service.update()
-        self.assertIn("target", await self.ask(session="two", patience_s=0.0))
+        self.assertIn(
+            "target", await self.request_placement(session="two", patience_s=0.0)
+        )
 
     async def test_a_vm_that_does_not_lead_grants_nothing(self):
         self.leads = False
-        self.assertEqual({"leader": None}, await self.ask())
+        self.assertEqual({"leader": None}, await self.request_placement())
 
     async def test_plain_services_are_not_placed_by_the_leader(self):
-        self.assertEqual({"leader": None}, await self.ask(service="app"))
+        self.assertEqual({"leader": None}, await self.request_placement(service="app"))
 
     async def test_a_copy_is_placed_at_another_engine(self):
-        answer = await self.ask(holder="e1@1")
+        answer = await self.request_placement(holder="e1@1")
         self.assertEqual("e2", answer["target"]["identity"])
         set_engines(self.table, self.table._view, engine("e1"))
-        self.assertIn("refused", await self.ask(holder="e1@1"))
+        self.assertIn("refused", await self.request_placement(holder="e1@1"))
 
     async def test_cold_engines_get_the_leaders_fraction_of_their_rate(self):
         places = 0
         for number in range(200):
-            answer = await self.ask(
+            answer = await self.request_placement(
                 session=f"c{number}",
                 patience_s=0.0,
                 prompt_tokens=1,
@@ -125,43 +131,51 @@
 class RefusalTest(PlacementServiceTestCase):
     async def test_requests_with_too_long_an_expected_wait_are_refused_at_once(self):
         """Guards against long waits for a late refusal under sustained overload."""
-        await self.fill()
+        await self.fill_engines()
         full = {incarnation: [5, 33_000, 0] for incarnation in ("e1@1", "e2@1")}
         await self.timer.advance(4.1)
-        waiting = [
-            asyncio.ensure_future(self.ask(session=f"w{n}", patience_s=1.0, loads=full))
+        tasks = [
+            asyncio.ensure_future(
+                self.request_placement(session=f"w{n}", patience_s=1.0, loads=full)
+            )
             for n in range(10)
         ]
         await settle()
-        refused = [task.result() for task in waiting if task.done()]
+        refused = [task.result() for task in tasks if task.done()]
         self.assertGreaterEqual(len(refused), 8)
         for answer in refused:
             self.assertGreaterEqual(answer["retry_after_s"], 1.0)
-        for task in waiting:
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*waiting, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
     async def test_retries_after_a_refusal_are_served_first(self):
-        await self.fill()
-        self.assertIn("refused", await self.ask(session="back", patience_s=0.0))
+        await self.fill_engines()
+        self.assertIn(
+            "refused", await self.request_placement(session="back", patience_s=0.0)
+        )
         order = []
 
         async def wait(session, patience_s):
-            answer = await self.ask(session=session, patience_s=patience_s)
+            answer = await self.request_placement(
+                session=session, patience_s=patience_s
+            )
             order.append((session, "target" in answer))
 
-        first = asyncio.ensure_future(wait("new", 1.5))
+        first_task = asyncio.ensure_future(wait("new", 1.5))
         await settle()
-        back = asyncio.ensure_future(wait("back", 1.5))
+        retry_task = asyncio.ensure_future(wait("back", 1.5))
         await settle()
         await self.timer.advance(1.05)
         self.placement_service.update()
-        await asyncio.gather(first, back)
+        await asyncio.gather(first_task, retry_task)
         self.assertEqual(("back", True), order[0])
 
     async def test_a_cancelled_request_leaves_the_queue(self):
-        await self.fill()
-        task = asyncio.ensure_future(self.ask(session="w", patience_s=1.5))
+        await self.fill_engines()
+        task = asyncio.ensure_future(
+            self.request_placement(session="w", patience_s=1.5)
+        )
         await settle()
         task.cancel()
         await settle()
--- a/tests/test_forwarding_plain.py
+++ b/tests/test_forwarding_plain.py
@@ -5,8 +5,8 @@
 
 class ForwardTest(ForwardingTestCase):
     async def test_a_request_is_forwarded_unchanged(self):
-        (engine,) = await self.add("app", "p1")
-        head, body = await self.ask(
+        (engine,) = await self.add_engines("app", "p1")
+        head, body = await self.send_request(
             "/unsafe/x?a=%20b", (b"X-Mine", b" v "), body=b"\x00\xff"
         )
         self.assertEqual((200, b"p1"), (head.status, body))
@@ -21,14 +21,14 @@
         self.assertTrue(3_000 < left_ms <= 4_000)
 
     async def test_the_response_is_forwarded_with_its_seal(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         engine.statuses = [418]
-        head, body = await self.ask("/unsafe/x")
+        head, body = await self.send_request("/unsafe/x")
         self.assertEqual((418, b"p1"), (head.status, body))
         self.assertEqual(b"1.2.3", head.header(b"x-endivesill-response-seal"))
 
     async def test_system_headers_from_callers_are_dropped(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         own = [
             (b"X-Endivesill-Hold", b"h"),
             (b"X-Endivesill-Pin-Duration", b"9"),
@@ -37,106 +37,106 @@
             (b"X-Endivesill-Tenant", b"forged"),
             (b"Api-Key", b"secret"),
         ]
-        await self.ask("/unsafe/x", *own)
+        await self.send_request("/unsafe/x", *own)
         headers = engine.requests[0][2]
         for name, value in own:
             self.assertNotEqual(value, headers.get(name.lower()), name)
 
     async def test_a_key_is_replaced_by_its_organisation(self):
-        (engine,) = await self.add("app", "p1")
-        head, _ = await self.ask("/keyed/x", (b"Api-Key", b"k1"))
+        (engine,) = await self.add_engines("app", "p1")
+        head, _ = await self.send_request("/keyed/x", (b"Api-Key", b"k1"))
         self.assertEqual(200, head.status)
         headers = engine.requests[0][2]
         self.assertEqual(b"owners", headers[b"x-endivesill-tenant"])
         self.assertNotIn(b"api-key", headers)
 
     async def test_an_unknown_key_is_refused_without_sending_the_request(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         for keys in ([], [(b"Api-Key", b"k9")], [(b"Api-Key", b"k1")] * 2):
-            head, _ = await self.ask("/keyed/x", *keys)
+            head, _ = await self.send_request("/keyed/x", *keys)
             self.assertEqual(401, head.status)
         self.assertEqual([], engine.requests)
 
     async def test_no_route_is_a_404_and_no_configuration_a_503(self):
-        self.assertEqual(404, (await self.ask("/none/x"))[0].status)
+        self.assertEqual(404, (await self.send_request("/none/x"))[0].status)
         self.forwarder.routes = None
-        head, _ = await self.ask("/unsafe/x")
+        head, _ = await self.send_request("/unsafe/x")
         self.assertEqual(503, head.status)
         self.assertTrue(head.header(b"retry-after"))
 
     async def test_a_response_without_a_length_is_forwarded_completely(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         engine.omits_length = True
-        head, body = await self.ask("/unsafe/x")
+        head, body = await self.send_request("/unsafe/x")
         self.assertEqual((200, b"p1"), (head.status, body))
         self.assertEqual(b"2", head.header(b"content-length"))
 
 
 class RetryTest(ForwardingTestCase):
     async def test_a_failed_safe_request_is_retried_at_another_target(self):
-        engines = await self.add("app", "p1", "p2")
+        engines = await self.add_engines("app", "p1", "p2")
         for engine in engines:
             engine.statuses = [500]
-        head, _ = await self.ask("/safe/x", method="GET", body=b"")
+        head, _ = await self.send_request("/safe/x", method="GET", body=b"")
         self.assertEqual(500, head.status)
         self.assertEqual([1, 1], [len(e.requests) for e in engines])
 
     async def test_a_retry_of_a_safe_request_succeeds(self):
-        one, two = await self.add("app", "p1", "p2")
+        one, two = await self.add_engines("app", "p1", "p2")
         one.is_hanging = two.is_hanging = False
         one.statuses = [500]
         two.statuses = []
         heads = [
-            (await self.ask("/safe/x", method="GET", body=b""))[0].status
+            (await self.send_request("/safe/x", method="GET", body=b""))[0].status
             for _ in range(4)
         ]
         self.assertEqual([200] * 4, heads)
 
     async def test_an_unsafe_request_that_may_have_run_is_not_retried(self):
-        engines = await self.add("app", "p1", "p2")
+        engines = await self.add_engines("app", "p1", "p2")
         for engine in engines:
             engine.statuses = [500]
-        head, _ = await self.ask("/unsafe/x")
+        head, _ = await self.send_request("/unsafe/x")
         self.assertEqual(500, head.status)
         self.assertEqual(1, sum(len(e.requests) for e in engines))
 
     async def test_an_unsafe_request_that_was_not_run_is_retried(self):
-        one, _ = await self.add("app", "p1", "p2")
+        one, _ = await self.add_engines("app", "p1", "p2")
         one.rejects = True
         for _ in range(4):
-            self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
+            self.assertEqual(200, (await self.send_request("/unsafe/x"))[0].status)
 
     async def test_a_reused_address_is_not_used_again(self):
-        one, _ = await self.add("app", "p1", "p2")
+        one, _ = await self.add_engines("app", "p1", "p2")
         one.identity = "someone-else"
         for _ in range(4):
-            self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
+            self.assertEqual(200, (await self.send_request("/unsafe/x"))[0].status)
         self.assertLessEqual(len(one.requests), 1)
 
     async def test_a_request_that_no_target_ran_is_refused(self):
-        one, two = await self.add("app", "p1", "p2")
+        one, two = await self.add_engines("app", "p1", "p2")
         one.rejects = two.rejects = True
-        head, _ = await self.ask("/unsafe/x")
+        head, _ = await self.send_request("/unsafe/x")
         self.assertEqual(503, head.status)
         self.assertTrue(head.header(b"retry-after"))
 
     async def test_an_unsafe_request_that_times_out_has_an_unknown_outcome(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         engine.is_hanging = True
-        head, _ = await self.ask("/short/x")
+        head, _ = await self.send_request("/short/x")
         self.assertEqual(504, head.status)
         self.assertEqual(["unknown"], self.outcomes())
 
     async def test_a_response_to_another_request_is_skipped(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         engine.sends_foreign_response = True
-        head, body = await self.ask("/unsafe/x")
+        head, body = await self.send_request("/unsafe/x")
         self.assertEqual((200, b"p1"), (head.status, body))
 
 
 class LeavingTest(ForwardingTestCase):
     async def test_a_target_that_leaves_during_connection_setup_gets_no_request(self):
-        one, two = await self.add("app", "p1", "p2")
+        one, two = await self.add_engines("app", "p1", "p2")
         acquire = self.pool.acquire
 
         async def acquire_slowly(address, idle_s=None):
@@ -149,17 +149,17 @@
 
         self.pool.acquire = acquire_slowly
         for _ in range(3):
-            self.assertEqual(200, (await self.ask("/unsafe/x"))[0].status)
+            self.assertEqual(200, (await self.send_request("/unsafe/x"))[0].status)
         self.assertEqual([], one.requests)
         self.assertEqual(3, len(two.requests))
 
     async def test_a_safe_request_is_cancelled_when_its_caller_disconnects(self):
-        (engine,) = await self.add("app", "p1")
+        (engine,) = await self.add_engines("app", "p1")
         engine.is_hanging = True
         connection = await self.connect()
         connection.send(request("/safe/x", method="GET", body=b""))
-        await self.until(lambda: engine.requests)
+        await self.wait_until(lambda: engine.requests)
         connection.abort()
-        await self.until(lambda: engine.cancelled_requests)
+        await self.wait_until(lambda: engine.cancelled_requests)
         self.assertEqual(["caller-gone"], self.outcomes())
         self.assertEqual(0, self.target("p1").requests)
--- a/tests/test_forwarding_routes.py
+++ b/tests/test_forwarding_routes.py
@@ -24,21 +24,21 @@
             )
         )
 
-    def found(self, host, path):
+    def find_name(self, host, path):
         found = self.table.find(host, path)
         return found.name if found else None
 
     def test_the_longest_prefix_wins(self):
-        self.assertEqual("long", self.found("x.example", "/a/b/c/d"))
-        self.assertEqual("short", self.found("x.example", "/a/bc"))
+        self.assertEqual("long", self.find_name("x.example", "/a/b/c/d"))
+        self.assertEqual("short", self.find_name("x.example", "/a/bc"))
 
     def test_a_prefix_matches_only_with_its_trailing_slash(self):
-        self.assertIsNone(self.found("x.example", "/a"))
-        self.assertEqual("short", self.found("x.example", "/a/b"))
+        self.assertIsNone(self.find_name("x.example", "/a"))
+        self.assertEqual("short", self.find_name("x.example", "/a/b"))
 
     def test_routes_belong_to_their_host(self):
-        self.assertEqual("other", self.found("y.example", "/a/b/c"))
-        self.assertIsNone(self.found("z.example", "/a/"))
+        self.assertEqual("other", self.find_name("y.example", "/a/b/c"))
+        self.assertIsNone(self.find_name("z.example", "/a/"))
 
 
 class KeyTest(unittest.TestCase):
--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -16,10 +16,10 @@
 
 class StreamTest(ForwardingTestCase):
     async def stream(self):
-        return await self.ask("/stream/x", *STREAM_HEADERS)
+        return await self.send_request("/stream/x", *STREAM_HEADERS)
 
     async def test_events_are_relayed_once_and_in_order(self):
-        await self.add("llm", "e1")
+        await self.add_engines("llm", "e1")
         head, body = await self.stream()
         self.assertEqual(200, head.status)
         self.assertEqual([1, 2, 3, 4, 5], numbers(body))
@@ -28,7 +28,7 @@
         self.assertEqual(0, self.target("e1").prefill_tokens)
 
     async def test_a_run_has_a_backup_at_another_engine(self):
-        engines = await self.add("llm", "e1", "e2")
+        engines = await self.add_engines("llm", "e1", "e2")
         await self.stream()
         (used,) = [e for e in engines if e.requests]
         (other,) = [e for e in engines if not e.requests]
@@ -37,20 +37,20 @@
         self.assertEqual(0, self.target(other.identity).reserved_tokens)
 
     async def test_a_run_resumes_from_its_backup_when_its_engine_stops(self):
-        engines = await self.add("llm", "e1", "e2")
+        engines = await self.add_engines("llm", "e1", "e2")
         for engine in engines:
             engine.copies = {"a1"}
         engines[0].break_after = engines[1].break_after = 3
 
-        async def heal():
-            await self.until(lambda: any(e.requests for e in engines))
+        async def stop_breaking():
+            await self.wait_until(lambda: any(e.requests for e in engines))
             for engine in engines:
                 if not engine.requests:
                     engine.break_after = None
 
-        healing = asyncio.ensure_future(heal())
+        stop_breaking_task = asyncio.ensure_future(stop_breaking())
         _, body = await self.stream()
-        await healing
+        await stop_breaking_task
         self.assertEqual([1, 2, 3, 4, 5], numbers(body))
         self.assertNotIn(b"ha", body.replace(b"data: t", b""))
         resumed = [r[2] for e in engines for r in e.requests if b"kv-from" in r[2]]
@@ -58,7 +58,7 @@
         self.assertEqual(b"a1", resumed[0][b"kv-from"].rpartition(b"/")[2])
 
     async def test_a_stream_without_a_copy_is_aborted(self):
-        (engine,) = await self.add("llm", "e1")
+        (engine,) = await self.add_engines("llm", "e1")
         engine.break_after = 3
         connection = await self.connect()
         connection.send(request("/stream/x", *STREAM_HEADERS))
@@ -68,7 +68,7 @@
         self.assertEqual(["broken"], self.outcomes())
 
     async def test_a_missing_copy_does_not_start_a_second_run(self):
-        engines = await self.add("llm", "e1", "e2")
+        engines = await self.add_engines("llm", "e1", "e2")
         for engine in engines:
             engine.break_after = 2
         connection = await self.connect()
@@ -80,27 +80,27 @@
         self.assertEqual(1, len(plain))
 
     async def test_a_run_resumes_from_a_copy_when_its_engine_leaves(self):
-        first, second, asking = await self.start_run()
+        first, second, response_task = await self.start_run()
         info = self.view.engines.pop("e1@1")
         self.table.update_engines()
         await self.notify_until(self.is_copied)
         first.break_after = 0
-        _, body = await asking
+        _, body = await response_task
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual(second.address, first.copy_orders[0]["target"])
         self.assertEqual(info.address, first.address)
 
     async def start_run(self):
         """Return two engines and the task of a 40-event run at the first one."""
-        (first,) = await self.add("llm", "e1")
+        (first,) = await self.add_engines("llm", "e1")
         first.events = 40
         first.event_pause_s = 0.01
-        asking = asyncio.ensure_future(self.stream())
-        await self.until(lambda: first.requests)
-        (second,) = await self.add("llm", "e2")
+        response_task = asyncio.ensure_future(self.stream())
+        await self.wait_until(lambda: first.requests)
+        (second,) = await self.add_engines("llm", "e2")
         second.copies = {"h1"}
         second.events = 40
-        return first, second, asking
+        return first, second, response_task
 
     def is_copied(self):
         """Tell whether the entry has logged the end of a copy order."""
@@ -113,22 +113,24 @@
             self.table.notify()
             return condition()
 
-        await self.until(notify_and_check)
+        await self.wait_until(notify_and_check)
 
     async def start_run_at_draining_engine(self, *, has_notice: bool):
         """Return the same as `start_run`, after the first engine has begun to drain."""
-        first, second, asking = await self.start_run()
+        first, second, response_task = await self.start_run()
         info = self.view.engines["e1@1"]
         self.view.engines["e1@1"] = attrs.evolve(
             info, is_draining=True, has_notice=has_notice
         )
         self.table.update_engines()
-        return first, second, asking
+        return first, second, response_task
 
     async def test_a_run_moves_before_its_engine_with_notice_stops(self):
-        first, second, asking = await self.start_run_at_draining_engine(has_notice=True)
+        first, second, response_task = await self.start_run_at_draining_engine(
+            has_notice=True
+        )
         await self.notify_until(lambda: second.requests)
-        _, body = await asking
+        _, body = await response_task
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual(1, first.cancelled_requests)
         self.assertEqual(1, len(second.requests))
@@ -136,49 +138,49 @@
         self.assertEqual([], first.copy_releases)
 
     async def test_an_engine_that_drains_without_notice_keeps_its_runs(self):
-        first, second, asking = await self.start_run_at_draining_engine(
+        first, second, response_task = await self.start_run_at_draining_engine(
             has_notice=False
         )
         self.target("e1").draining_since_s -= NOTICE_LAG_S
-        await self.notify_until(asking.done)
-        _, body = await asking
+        await self.notify_until(response_task.done)
+        _, body = await response_task
         self.assertEqual(list(range(1, 41)), numbers(body))
         self.assertEqual([], first.copy_orders)
         self.assertEqual([], second.requests)
 
     async def test_a_copy_is_released_when_no_notice_follows(self):
-        first, second, asking = await self.start_run_at_draining_engine(
+        first, second, response_task = await self.start_run_at_draining_engine(
             has_notice=False
         )
         await self.notify_until(self.is_copied)
         self.target("e1").draining_since_s -= NOTICE_LAG_S
-        await self.notify_until(asking.done)
-        await asking
+        await self.notify_until(response_task.done)
+        await response_task
         self.assertEqual([b"/kv-handle/h1"], first.copy_releases)
         self.assertEqual([], second.requests)
         self.assertEqual(0, self.target("e2").reserved_tokens)
 
     async def test_a_run_is_cancelled_when_its_caller_disconnects(self):
-        (engine,) = await self.add("llm", "e1")
+        (engine,) = await self.add_engines("llm", "e1")
         engine.events = 10_000
         engine.event_pause_s = 0.01
         connection = await self.connect()
         connection.send(request("/stream/x", *STREAM_HEADERS))
         await connection.head()
         connection.abort()
-        await self.until(lambda: engine.cancelled_requests)
-        await self.until(lambda: not self.target("e1").requests)
+        await self.wait_until(lambda: engine.cancelled_requests)
+        await self.wait_until(lambda: not self.target("e1").requests)
         self.assertEqual(["caller-gone"], self.outcomes())
 
     async def test_a_rejected_generation_is_refused(self):
-        (engine,) = await self.add("llm", "e1")
+        (engine,) = await self.add_engines("llm", "e1")
         engine.rejects = True
         head, _ = await self.stream()
         self.assertEqual(503, head.status)
         self.assertEqual(0, self.target("e1").requests)
 
     async def test_generations_are_refused_while_the_process_stops(self):
-        (engine,) = await self.add("llm", "e1")
+        (engine,) = await self.add_engines("llm", "e1")
         self.forwarder.refuse_streams = True
         head, _ = await self.stream()
         self.assertEqual(503, head.status)
--- a/tests/test_forwarding_waiting.py
+++ b/tests/test_forwarding_waiting.py
@@ -43,7 +43,7 @@
             MODEL, ResourceDemand(300, 3_000), priority, wait_until_s, **changes
         )
 
-    def ask(self, **changes):
+    def start_placing(self, **changes):
         return asyncio.ensure_future(self.admission.place(self.request(**changes)))
 
     async def test_a_request_is_placed_at_once_if_there_is_capacity(self):
@@ -52,7 +52,7 @@
 
     async def test_a_queued_request_is_placed_when_capacity_is_released(self):
         self.table.update_loads(FULL)
-        task = self.ask()
+        task = self.start_placing()
         await settle()
         self.assertEqual(1, self.admission.queue_length())
         self.table.update_loads(FREE)
@@ -81,7 +81,7 @@
 
     async def test_a_queued_request_times_out(self):
         self.table.update_loads(FULL)
-        task = self.ask(wait_s=0.5)
+        task = self.start_placing(wait_s=0.5)
         await self.timer.advance(0.6)
         with self.assertRaises(NoRoomError):
             await task
@@ -90,7 +90,7 @@
 
     async def test_a_cancelled_request_is_not_placed(self):
         self.table.update_loads(FULL)
-        task = self.ask()
+        task = self.start_placing()
         await settle()
         task.cancel()
         await settle()
@@ -100,7 +100,7 @@
 
     async def test_a_full_queue_refuses_requests(self):
         self.table.update_loads(FULL)
-        tasks = [self.ask() for _ in range(20)]
+        tasks = [self.start_placing() for _ in range(20)]
         await settle()
         refused = [t for t in tasks if t.done() and t.exception() is not None]
         self.assertEqual(4, len(refused))
@@ -168,9 +168,9 @@
                 retries.append(timer.now_s())
             await timer.advance(0.05)
         for start_s in requests[::20]:
-            inside = [t for t in retries if start_s <= t < start_s + 10]
-            asked = [t for t in requests if start_s <= t < start_s + 10]
-            self.assertLessEqual(len(inside), 0.2 * len(asked) + 54)
+            retries_inside = [t for t in retries if start_s <= t < start_s + 10]
+            requests_inside = [t for t in requests if start_s <= t < start_s + 10]
+            self.assertLessEqual(len(retries_inside), 0.2 * len(requests_inside) + 54)
         self.assertGreater(len(retries), 30)
 
     async def test_an_entry_without_a_share_has_no_slack(self):
