--- a/endivesill/fleet/sync_service.py
+++ b/endivesill/fleet/sync_service.py
@@ -144,7 +144,7 @@
         if not self._has_updates(message):
             await self._wait_for_updates(message)
         if await self._confirmed_term() is None:
-            return {"leader": self._replica.core.leader_to_call()}
+            return {"leader": self._replica.core.active_leader_address()}
         return self._build_reply(entry_id, message)
 
     async def _wait_for_updates(self, message: Message) -> None:
