--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -132,6 +132,8 @@
         await self.notify_until(lambda: second.requests)
         _, body = await response_task
         self.assertEqual(list(range(1, 41)), numbers(body))
+        # The stand-in checks for a closed connection only between two events.
+        await self.wait_until(lambda: first.cancelled_requests)
         self.assertEqual(1, first.cancelled_requests)
         self.assertEqual(1, len(second.requests))
         # Releasing the copy in use would end the resumed run.
