--- a/endivesill/forwarding/placer.py
+++ b/endivesill/forwarding/placer.py
@@ -1,4 +1,4 @@
-"""How an entry gets a place for a request: from the leader, or by itself."""
+"""Placement of an entry's requests, by the leader or locally."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 import attrs
 
 from endivesill import errors
-from endivesill.fleet.follower import FleetFollower
 from endivesill.fleet.model import EngineInfo
+from endivesill.fleet.sync_client import FleetSyncClient
 from endivesill.forwarding.call import Call
-from endivesill.forwarding.home import PLACE_PATH
 from endivesill.forwarding.placement import (
-    READ_TOKENS_PER_S,
+    PREFILL_TOKENS_PER_S,
     choose_backup,
     choose_destination,
 )
+from endivesill.forwarding.placement_service import PLACE_PATH
 from endivesill.forwarding.targets import Target, TargetTable
-from endivesill.forwarding.waiting import Admission, NoRoomError, PlaceRequest
+from endivesill.forwarding.waiting import AdmissionQueue, NoRoomError, PlacementRequest
 from endivesill.peers import Message, PeerTransport
 from endivesill.timer import TimerService
 
-__all__ = ["Place", "Placer", "latest_start_s"]
+__all__ = ["Placement", "Placer", "compute_wait_until_s"]
 
-# What an answer of the leader may take besides the wait for a place.
-HOME_MARGIN_S = 0.25
-# How long the request of a caller who comes back after a refusal waits: it is the
-# next to be placed, and a full fleet gives some places each second.
-RETURN_WAIT_S = 3.0
-RETURN_WAIT_SHARE = 0.5
-# Part of the target latency that is kept back for what cannot be foreseen.
-RESERVE_SHARE = 0.1
+# Time allowed for the leader's reply beyond the wait in its queue.
+LEADER_REPLY_MARGIN_S = 0.25
+# Longest wait of a retry after a refusal. It is among the next to be placed, and even
+# full engines release some capacity each second.
+REFUSED_MAX_WAIT_S = 3.0
+REFUSED_MAX_WAIT_FRACTION = 0.5
+# Fraction of the target latency kept as a safety margin.
+LATENCY_RESERVE_FRACTION = 0.1
 
 
 @attrs.frozen
-class Place:
-    """A place at a target.
+class Placement:
+    """A target chosen for a request.
 
     Attributes:
-      target: who runs the request.
-      backup: who gets a copy of its memory; None for no copy.
-      by_leader: whether the leader gave it.
+      target: runs the request.
+      backup: receives a live copy of the run's KV cache; None for no copy.
+      by_leader: whether the leader chose it.
     """
 
     target: Target
@@ -48,30 +48,29 @@
     by_leader: bool
 
 
-def latest_start_s(call: Call) -> float:
-    """Return until when it is worth to wait for a place.
+def compute_wait_until_s(call: Call) -> float:
+    """Return when to stop waiting for a placement.
 
-    Answers the pattern of a burst: an answer that begins after its target
-    latency helps its caller less than another caller's answer in time, so the
-    wait ends when the first answer would be late.
+    The wait ends once the first byte would miss its target latency: during a burst,
+    capacity helps more if it goes to a request that can still be answered on time.
     """
-    read_s = call.need.prompt_tokens / READ_TOKENS_PER_S
-    reserve_s = RESERVE_SHARE * call.route.target_latency_s
-    latest_s = call.on_time_s - read_s - reserve_s
-    return min(max(latest_s, call.received_s), call.end_s)
+    prefill_s = call.demand.prompt_tokens / PREFILL_TOKENS_PER_S
+    reserve_s = LATENCY_RESERVE_FRACTION * call.route.target_latency_s
+    wait_until_s = call.latency_deadline_s - prefill_s - reserve_s
+    return min(max(wait_until_s, call.received_s), call.deadline_s)
 
 
 class Placer:
-    """Gets places for an entry's requests.
+    """Places an entry's requests.
 
-    Generations get theirs from the leader, which knows the load of all entries.
-    Plain requests are placed here, and so is everything while no leader answers.
+    Generations are placed by the leader, which knows the load of all entries. Plain
+    requests are placed locally, and so are generations while no leader answers.
 
     Args:
       timer: the timer service.
       table: the targets.
-      admission: places without the leader.
-      follower: knows the leader.
+      admission: places requests locally.
+      sync_client: knows the leader.
       transport: calls the leader.
     """
 
@@ -79,138 +78,149 @@
         self,
         timer: TimerService,
         table: TargetTable,
-        admission: Admission,
-        follower: FleetFollower,
+        admission: AdmissionQueue,
+        sync_client: FleetSyncClient,
         transport: PeerTransport,
     ) -> None:
         self._timer = timer
         self._table = table
         self._admission = admission
-        self._follower = follower
+        self._sync_client = sync_client
         self._transport = transport
 
-    async def place(self, call: Call) -> Place:
-        """Return a place for a request; it is counted as taken.
+    async def place(self, call: Call) -> Placement:
+        """Return a placement; its demand is reserved at the target and the backup.
 
         Raises:
-          NoRoomError: there will be none in time.
+          NoRoomError: no target had capacity in time.
         """
-        began_s = self._timer.now_s()
+        started_s = self._timer.now_s()
         try:
-            if call.service.memory is not None:
-                place = await self._ask_for_run(call)
-                if place is not None:
-                    return place
-            return await self._place_here(call)
+            if call.service.model_engine is not None:
+                placement = await self._request_placement(call)
+                if placement is not None:
+                    return placement
+            return await self._place_locally(call)
         finally:
-            call.waited_s += self._timer.now_s() - began_s
+            call.waited_s += self._timer.now_s() - started_s
 
-    async def _place_here(self, call: Call) -> Place:
-        request = PlaceRequest(
+    async def _place_locally(self, call: Call) -> Placement:
+        request = PlacementRequest(
             call.service,
-            call.need,
+            call.demand,
             call.priority,
-            latest_start_s(call),
+            compute_wait_until_s(call),
             call.excluded,
             organisation=call.organisation,
         )
         target = await self._admission.place(request)
         self._table.note_send(target)
-        backup = self.backup_for(call, target)
-        return Place(target, backup, by_leader=False)
+        backup = self.reserve_backup(call, target)
+        return Placement(target, backup, by_leader=False)
 
-    def backup_for(self, call: Call, target: Target) -> Target | None:
-        """Return a backup with a place taken for a run at a target, or None."""
+    def reserve_backup(self, call: Call, target: Target) -> Target | None:
+        """Choose a backup for a run and reserve its demand there; None without one."""
         targets = self._table.candidates(call.service.name, ())
-        is_busy = self._admission.is_busy(call.service.name)
+        is_congested = self._admission.is_congested(call.service.name)
         backup = choose_backup(
-            targets, call.service, call.need, target, is_busy=is_busy
+            targets, call.service, call.demand, target, is_congested=is_congested
         )
         if backup is not None:
-            backup.take_copy(call.need)
+            backup.reserve_copy(call.demand)
         return backup
 
-    async def _ask_for_run(self, call: Call) -> Place | None:
-        """Ask the leader; None if it does not answer."""
-        patience_s = max(0.0, latest_start_s(call) - self._timer.now_s())
-        answer = await self._ask(call, patience_s, holder="")
-        if answer is None:
+    async def _request_placement(self, call: Call) -> Placement | None:
+        """Request a placement from the leader; None if it does not answer."""
+        max_wait_s = max(0.0, compute_wait_until_s(call) - self._timer.now_s())
+        reply = await self._request_from_leader(call, max_wait_s, source="")
+        if reply is None:
             return None
-        if "refused" in answer:
-            raise NoRoomError(answer["refused"], answer["retry_after_s"])
-        target = self._table.learn(EngineInfo(**answer["target"]))
-        target.take(call.need)
+        if "refused" in reply:
+            raise NoRoomError(reply["refused"], reply["retry_after_s"])
+        target = self._table.get_or_add(EngineInfo(**reply["target"]))
+        target.reserve(call.demand)
         backup = None
-        if answer["backup"] is not None:
-            backup = self._table.learn(EngineInfo(**answer["backup"]))
-            backup.take_copy(call.need)
-        return Place(target, backup, by_leader=True)
-
-    def _return_patience_s(self, call: Call) -> float:
-        """Return how long a caller waits who was refused before; it is late anyway."""
-        left_s = call.end_s - self._timer.now_s()
-        return max(0.0, min(RETURN_WAIT_S, RETURN_WAIT_SHARE * left_s))
-
-    async def place_copy(self, call: Call, holder: Target) -> Target | None:
-        """Return a target with a place taken for a copy of a run, or None."""
-        answer = await self._ask(call, 0.0, holder=holder.info.incarnation)
-        if answer is None:
+        if reply["backup"] is not None:
+            backup = self._table.get_or_add(EngineInfo(**reply["backup"]))
+            backup.reserve_copy(call.demand)
+        return Placement(target, backup, by_leader=True)
+
+    def _refused_max_wait_s(self, call: Call) -> float:
+        """Return the longest wait if this is a retry after a refusal.
+
+        The target latency of such a request is missed already.
+        """
+        remaining_s = call.deadline_s - self._timer.now_s()
+        return max(
+            0.0, min(REFUSED_MAX_WAIT_S, REFUSED_MAX_WAIT_FRACTION * remaining_s)
+        )
+
+    async def place_copy(self, call: Call, source: Target) -> Target | None:
+        """Return a target with the demand of a copy of a run reserved, or None."""
+        reply = await self._request_from_leader(
+            call, 0.0, source=source.info.incarnation
+        )
+        if reply is None:
             targets = self._table.candidates(call.service.name, ())
-            target = choose_destination(targets, call.service, call.need, holder)
-        elif "refused" in answer:
+            target = choose_destination(targets, call.service, call.demand, source)
+        elif "refused" in reply:
             target = None
         else:
-            target = self._table.learn(EngineInfo(**answer["target"]))
+            target = self._table.get_or_add(EngineInfo(**reply["target"]))
         if target is not None:
-            target.take_copy(call.need)
+            target.reserve_copy(call.demand)
         return target
 
-    async def _ask(
-        self, call: Call, patience_s: float, *, holder: str
+    async def _request_from_leader(
+        self, call: Call, max_wait_s: float, *, source: str
     ) -> Message | None:
-        leader = self._follower.leader
+        leader = self._sync_client.leader
         if leader is None:
             return None
         message = {
-            **self._follower.report(),
+            **self._sync_client.load_report(),
             "service": call.service.name,
             "priority": call.priority,
-            "prompt_tokens": call.need.prompt_tokens,
-            "memory_tokens": call.need.memory_tokens,
+            "prompt_tokens": call.demand.prompt_tokens,
+            "memory_tokens": call.demand.memory_tokens,
             "request_id": call.info.attempt_id,
             "session": call.info.session,
             "organisation": call.organisation,
-            "patience_s": patience_s,
-            "return_patience_s": self._return_patience_s(call),
+            "patience_s": max_wait_s,
+            "return_patience_s": self._refused_max_wait_s(call),
             "excluded": [target.info.incarnation for target in call.excluded],
-            "holder": holder,
+            "holder": source,
         }
-        longest_s = max(patience_s, message["return_patience_s"])
-        answer = await self._call_leader(leader, message, longest_s + HOME_MARGIN_S)
-        if answer is None or "leader" in answer:
+        longest_s = max(max_wait_s, message["return_patience_s"])
+        reply = await self._call_leader(
+            leader, message, longest_s + LEADER_REPLY_MARGIN_S
+        )
+        if reply is None or "leader" in reply:
             return None
-        if "number" in answer:
-            self._follower.note_grant(answer["number"])
-        return answer
+        if "number" in reply:
+            self._sync_client.note_grant(reply["number"])
+        return reply
 
     async def _call_leader(
         self, leader: str, message: Message, timeout_s: float
     ) -> Message | None:
-        """Return the leader's answer; None once it is lost.
+        """Return the leader's reply; None if the leader is lost meanwhile.
 
-        The answer may take as long as a place does, while the sync shows within
-        half a second that a leader is gone.
+        The reply may take as long as the wait in the queue, while `leader_lost` fires
+        within half a second.
         """
-        calling = asyncio.ensure_future(
+        call_task = asyncio.ensure_future(
             self._transport.call(leader, PLACE_PATH, message, timeout_s)
         )
-        losing = asyncio.ensure_future(self._follower.leader_lost.wait())
+        leader_lost_task = asyncio.ensure_future(self._sync_client.leader_lost.wait())
         try:
-            await asyncio.wait({calling, losing}, return_when="FIRST_COMPLETED")
-            return calling.result() if calling.done() else None
+            await asyncio.wait(
+                {call_task, leader_lost_task}, return_when="FIRST_COMPLETED"
+            )
+            return call_task.result() if call_task.done() else None
         except errors.PeerUnreachableError:
-            # The follower notices and logs the loss of the leader.
+            # The sync client detects and logs the loss of the leader.
             return None
         finally:
-            calling.cancel()
-            losing.cancel()
+            call_task.cancel()
+            leader_lost_task.cancel()
