--- a/bench/worst_load_policies.py
+++ b/bench/worst_load_policies.py
@@ -20,16 +20,16 @@
     SimEngine,
     SimRun,
 )
-from endivesill.fleet.follower import FleetView
 from endivesill.fleet.load import FleetLoads
 from endivesill.fleet.reports import EngineReport
-from endivesill.forwarding.fair_queue import FairQueue, Flow, Order
-from endivesill.forwarding.home import PlacementHome
-from endivesill.forwarding.placement import READ_TOKENS_PER_S, need_of
+from endivesill.fleet.sync_client import FleetView
+from endivesill.forwarding.fair_queue import FairQueue, Flow, SortKey
+from endivesill.forwarding.placement import PREFILL_TOKENS_PER_S, estimate_demand
+from endivesill.forwarding.placement_service import PlacementService
 from endivesill.forwarding.placer import (
-    RESERVE_SHARE,
-    RETURN_WAIT_S,
-    RETURN_WAIT_SHARE,
+    LATENCY_RESERVE_FRACTION,
+    REFUSED_MAX_WAIT_FRACTION,
+    REFUSED_MAX_WAIT_S,
 )
 from endivesill.forwarding.protocol import RequestInfo
 from endivesill.forwarding.targets import TargetTable
@@ -155,7 +155,7 @@
         self._loads = FleetLoads()
         self._table = TargetTable(fleet.timer, self._view, "")
         self._grants_seen = 0
-        self._placement = PlacementHome(
+        self._placement = PlacementService(
             fleet.timer,
             self._table,
             self._loads,
@@ -183,7 +183,7 @@
                 used, queued, False, False, now_s
             )
         self._table.update_reports(reports.get, frozenset())
-        self._loads.report("entry", self._load_rows(), self._grants_seen, now_s)
+        self._loads.record_report("entry", self._load_rows(), self._grants_seen, now_s)
         self._placement.update()
 
     def _is_departure_known(self, engine: SimEngine, now_s: float) -> bool:
@@ -226,15 +226,15 @@
     ) -> Grant | Refusal:
         """Request a placement, as an entry does."""
         kind = find_class(arrival.kind)
-        reserved = need_of(_request_info(arrival), SERVICE).memory_tokens
-        prefill_s = arrival.prompt_tokens / READ_TOKENS_PER_S
-        reserve_s = RESERVE_SHARE * kind.target_latency_s
+        reserved = estimate_demand(_request_info(arrival), SERVICE).memory_tokens
+        prefill_s = arrival.prompt_tokens / PREFILL_TOKENS_PER_S
+        reserve_s = LATENCY_RESERVE_FRACTION * kind.target_latency_s
         response = await self._placement.handle(
             {
                 **self._message(arrival, reserved),
                 "patience_s": max(0.0, latency_remaining_s - prefill_s - reserve_s),
                 "return_patience_s": min(
-                    RETURN_WAIT_S, RETURN_WAIT_SHARE * remaining_s
+                    REFUSED_MAX_WAIT_S, REFUSED_MAX_WAIT_FRACTION * remaining_s
                 ),
                 "holder": "",
             }
@@ -274,9 +274,9 @@
 class _RefusedFirst(FairQueue[Any]):
     """The previous queue order: refused callers first, then by arrival."""
 
-    def order_of(self, priority: int, flow: Flow, cost: float) -> Order:
+    def sort_key_of(self, priority: int, flow: Flow, cost: float) -> SortKey:
         """Return the sort key of a request."""
-        return priority, 0.0 if flow.comes_back else 1.0, False
+        return priority, 0.0 if flow.was_refused else 1.0, False
 
 
 class Previous(PlacementPolicy):
@@ -311,7 +311,7 @@
     """Return the request as the product reads it from the request head."""
     return RequestInfo(
         attempt_id=arrival.session,
-        deadline_s=None,
+        remaining_s=None,
         key="",
         prompt_tokens=arrival.prompt_tokens,
         maximum_output_tokens=0,
--- a/endivesill/fleet/engine_list.py
+++ b/endivesill/fleet/engine_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of engines while this VM leads the control group."""
+"""Reads the platform's list of engines while this VM leads."""
 
 from __future__ import annotations
 
@@ -12,22 +12,27 @@
 from endivesill.peers import Message
 from endivesill.timer import TimerService
 
-__all__ = ["EngineList", "EngineListReader", "ListSource", "list_to_message"]
+__all__ = [
+    "EngineListSnapshot",
+    "EngineListReader",
+    "EngineListSource",
+    "list_to_message",
+]
 
-# Notices of engines that leave within two seconds must not wait long.
+# Engines may leave within two seconds of their notice.
 READ_PERIOD_S = 0.25
-# Longest pause between two tries while the list cannot be read.
-FAILED_PERIOD_LIMIT_S = 2.0
+# Upper bound of the backoff while the list cannot be read.
+MAX_BACKOFF_S = 2.0
 
 
 @attrs.frozen
-class EngineList:
-    """One reading of the list.
+class EngineListSnapshot:
+    """The engines of the list at one time.
 
     Attributes:
-      term: the leader's term in which it was read.
-      number: counts the changed readings of a term.
-      read_s: when it was read, on the reader's clock.
+      term: term of the leader that read the list.
+      number: counts the changes within a term.
+      read_s: when the list was read, by the reader's clock.
       engines: the engines by incarnation.
     """
 
@@ -38,77 +43,76 @@
 
     @property
     def stamp(self) -> list[int]:
-        """Orders readings; compares with those of other leaders."""
+        """Version `[term, number]`, ordered across leaders."""
         return [self.term, self.number]
 
 
-class ListSource:
-    """Base of what reads the whole list of one platform.
+class EngineListSource:
+    """Base of readers of a platform's list.
 
     Attributes:
-      shortest_period_s: time from one reading to the next that the platform's
-        bound on calls allows.
+      min_period_s: least interval between two reads that the platform's rate limit
+        allows.
     """
 
-    shortest_period_s = 0.0
+    min_period_s = 0.0
 
     async def read(self) -> list[EngineInfo]:
         """Return all engines.
 
         Raises:
-          UnavailableError: the list could not be read as a whole.
+          UnavailableError: the list could not be read completely.
         """
         raise NotImplementedError
 
 
-def list_to_message(reading: EngineList, now_s: float) -> Message:
-    """Return a reading as a JSON object; times of coldness as of now."""
-    age_s = now_s - reading.read_s
+def list_to_message(snapshot: EngineListSnapshot, now_s: float) -> Message:
+    """Return a snapshot as JSON, with the remaining cold times as of now."""
+    age_s = now_s - snapshot.read_s
     rows = []
-    for engine in reading.engines.values():
+    for engine in snapshot.engines.values():
         row = attrs.asdict(engine)
         row["cold_s"] = round(max(0.0, engine.cold_s - age_s), 3)
         rows.append(row)
-    return {"stamp": reading.stamp, "engines": rows}
+    return {"stamp": snapshot.stamp, "engines": rows}
 
 
 class EngineListReader:
-    """Reads the list, one reading at a time.
+    """Reads the list periodically and merges departures into it.
 
     Args:
       timer: the timer service.
-      source: where it is read from.
+      source: reads the list.
 
     Attributes:
-      current: the last reading, or None before the first.
+      current: the newest snapshot; None before the first.
     """
 
-    def __init__(self, timer: TimerService, source: ListSource) -> None:
+    def __init__(self, timer: TimerService, source: EngineListSource) -> None:
         self._timer = timer
         self._source = source
         self._failures = 0
         self._leaving: Callable[[], frozenset[str]] = frozenset
-        self._noticed: Callable[[], frozenset[str]] = frozenset
+        self._with_notice: Callable[[], frozenset[str]] = frozenset
         self._listed: list[EngineInfo] = []
-        self.current: EngineList | None = None
+        self.current: EngineListSnapshot | None = None
 
-    def use_departures(
+    def use_departure_sources(
         self,
         leaving: Callable[[], frozenset[str]],
-        noticed: Callable[[], frozenset[str]],
+        with_notice: Callable[[], frozenset[str]],
     ) -> None:
-        """Take what engines say of their end themselves.
+        """Set the sources of departures that the list does not show yet.
 
         Args:
-          leaving: returns the incarnations that no longer take work; the list
-            shows them later.
-          noticed: returns the incarnations that know when they will end.
+          leaving: returns the incarnations that no longer accept work.
+          with_notice: returns the incarnations whose shutdown time is set.
         """
         self._leaving = leaving
-        self._noticed = noticed
+        self._with_notice = with_notice
 
     async def read(self, term: int) -> bool:
-        """Read the list once; return whether the engines in it have changed."""
+        """Read the list once; return whether its engines have changed."""
         try:
             self._listed = await self._source.read()
         except errors.UnavailableError as error:
@@ -120,31 +124,31 @@
             events.emit(LIST_REGAINED, failures=self._failures)
             self._failures = 0
         read_s = self._timer.now_s()
-        return self._take(self._merged(), term, read_s)
+        return self._apply(self._merged(), term, read_s)
 
-    def note_departures(self) -> bool:
-        """Merge the departures into the last reading; return whether it changed."""
+    def apply_departures(self) -> bool:
+        """Merge departures into the last list read; return whether it changed."""
         if self.current is None:
             return False
-        return self._take(self._merged(), self.current.term, self.current.read_s)
+        return self._apply(self._merged(), self.current.term, self.current.read_s)
 
     def _merged(self) -> dict[str, EngineInfo]:
         leaving = self._leaving()
-        noticed = self._noticed()
+        with_notice = self._with_notice()
         return {
             engine.incarnation: attrs.evolve(
                 engine,
                 is_draining=engine.is_draining or engine.incarnation in leaving,
-                has_notice=engine.incarnation in noticed,
+                has_notice=engine.incarnation in with_notice,
             )
             for engine in self._listed
         }
 
-    def _take(self, engines: dict[str, EngineInfo], term: int, read_s: float) -> bool:
+    def _apply(self, engines: dict[str, EngineInfo], term: int, read_s: float) -> bool:
         current = self.current
-        same = current is not None and current.term == term
-        number = current.number if current is not None and same else 0
-        changed = not same or _facts(current.engines) != _facts(engines)  # type: ignore[union-attr]
+        same_term = current is not None and current.term == term
+        number = current.number if current is not None and same_term else 0
+        changed = not same_term or _comparable(current.engines) != _comparable(engines)  # type: ignore[union-attr]
         if changed:
             number += 1
             events.emit(
@@ -153,18 +157,18 @@
                 ready=sum(not e.is_draining for e in engines.values()),
                 draining=[e.identity for e in engines.values() if e.is_draining],
             )
-        self.current = EngineList(term, number, read_s, engines)
+        self.current = EngineListSnapshot(term, number, read_s, engines)
         return changed
 
-    async def pause(self) -> None:
-        """Wait until the next reading is due."""
-        factor = min(2**self._failures, FAILED_PERIOD_LIMIT_S / READ_PERIOD_S)
-        period_s = max(READ_PERIOD_S * factor, self._source.shortest_period_s)
+    async def wait_until_due(self) -> None:
+        """Sleep until the next read is due."""
+        factor = min(2**self._failures, MAX_BACKOFF_S / READ_PERIOD_S)
+        period_s = max(READ_PERIOD_S * factor, self._source.min_period_s)
         await self._timer.sleep(period_s)
 
 
-def _facts(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
-    """Return the engines without what changes by the passing of time alone."""
+def _comparable(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
+    """Return the engines without the remaining cold time, which changes by itself."""
     return {
         incarnation: attrs.evolve(engine, cold_s=1.0 if engine.cold_s > 0 else 0.0)
         for incarnation, engine in engines.items()
