--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -110,9 +110,9 @@
         )
         self.listener = HttpListener(timer, "127.0.0.1:0", forwarder.handle)
         if logs:
-            JsonLog(timer, "entry", failed=request_failed).start()
+            JsonLog(timer, "entry", classify=request_failed).start()
         else:
-            events.write_to(lambda kind, fields: None)
+            events.set_sink(lambda kind, fields: None)
 
 
 def _run_entry(
--- a/bench/worst_load.py
+++ b/bench/worst_load.py
@@ -340,7 +340,7 @@
 
 
 def _job(job: tuple[str, float, int, pathlib.Path | None]) -> dict[str, Any]:
-    events.write_to(lambda kind, fields: None)
+    events.set_sink(lambda kind, fields: None)
     name, load, seed, trace = job
     if trace is not None:
         return summary(play(name, read_trace(trace), seed))
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -24,7 +24,7 @@
 from endivesill.entry.settings import EntrySettings
 from endivesill.http_peers import HttpPeerTransport
 from endivesill.kernel import Kernel, Service
-from endivesill.keys import KeyFileWatch, KeyRing
+from endivesill.keys import KeyFileWatcher, KeyRing
 from endivesill.membership.datagrams import UdpDatagramTransport
 from endivesill.membership.leaving import LeavingTargets
 from endivesill.membership.service import SwimMembership
@@ -168,7 +168,7 @@
         _add_entry(kernel, settings, keys, metrics, transport, source, membership)
     _add_orders(kernel, settings, membership, source, transport, drain)
     kernel.add("vm-list", _vm_list(kernel, settings, membership, source, drain))
-    kernel.add("key-file", KeyFileWatch(timer, keys, vm.key_file))
+    kernel.add("key-file", KeyFileWatcher(timer, keys, vm.key_file))
     _add_operators(kernel, settings, keys, metrics, transport, membership)
     return kernel
 
--- a/endivesill/events.py
+++ b/endivesill/events.py
@@ -23,7 +23,7 @@
     "emit",
     "listen",
     "markdown_catalogue",
-    "write_to",
+    "set_sink",
 ]
 
 
@@ -78,7 +78,7 @@
         listener(kind, fields)
 
 
-def write_to(sink: Sink) -> None:
+def set_sink(sink: Sink) -> None:
     """Send all events to another sink than eliot."""
     global _sink
     _sink = sink
--- a/endivesill/json_log.py
+++ b/endivesill/json_log.py
@@ -40,13 +40,13 @@
 
 
 # Whether an event means that its request has failed, that it was served, or neither.
-Verdict = Callable[[events.EventKind, Fields], bool | None]
+FailureClassifier = Callable[[events.EventKind, Fields], bool | None]
 # A line over budget whose request may still fail: since when it is held, its time
 # of day, and the event.
 _Held = tuple[float, float, events.EventKind, Fields]
 
 
-def _no_verdict(kind: events.EventKind, fields: Fields) -> bool | None:
+def _unclassified(kind: events.EventKind, fields: Fields) -> bool | None:
     return None
 
 
@@ -61,8 +61,8 @@
       timer: the timer service.
       process: names the process in each line.
       descriptor: the file descriptor that is written to.
-      failed: tells of an event whether its request has failed (True), was served
-        (False) or goes on (None).
+      classify: returns whether an event means that its request failed (True),
+        completed (False) or is still in progress (None).
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         timer: TimerService,
         process: str,
         descriptor: int = 1,
-        failed: Verdict = _no_verdict,
+        classify: FailureClassifier = _unclassified,
     ) -> None:
         self._timer = timer
         self._process = process
@@ -80,7 +80,7 @@
         self._window_s = 0.0
         # By number of the kind, negative for lines that tell of a failure.
         self._used: dict[int, int] = {}
-        self._failed = failed
+        self._classify = classify
         # By request, in order of the first line.
         self._held: dict[str, list[_Held]] = {}
         self._held_lines = 0
@@ -89,7 +89,7 @@
     def start(self) -> None:
         """Take all events and write them in the background."""
         os.set_blocking(self._descriptor, False)
-        events.write_to(self.write)
+        events.set_sink(self.write)
         self._timer.call_every(FLUSH_S, self.flush)
 
     def write(self, kind: events.EventKind, fields: Fields) -> None:
@@ -97,7 +97,7 @@
         now_s = self._timer.now_s()
         if now_s - self._window_s >= 1.0:
             self._begin_window(now_s)
-        failed = self._failed(kind, fields)
+        failed = self._classify(kind, fields)
         if failed:
             self._release(fields.get("request_id", ""))
         key = -kind.number if failed else kind.number
--- a/endivesill/keys.py
+++ b/endivesill/keys.py
@@ -13,7 +13,7 @@
 from endivesill.kernel import Service
 from endivesill.timer import TimerHandle, TimerService
 
-__all__ = ["KeyFileWatch", "KeyRing", "bearer_key", "hash_key"]
+__all__ = ["KeyFileWatcher", "KeyRing", "bearer_key", "hash_key"]
 
 MINIMUM_KEY_LENGTH = 16
 KEY_FILE_POLL_S = 2.0
@@ -98,7 +98,7 @@
         return any(matches)
 
 
-class KeyFileWatch(Service):
+class KeyFileWatcher(Service):
     """Reads a key file again when it changes.
 
     Args:
--- a/endivesill/link_peers.py
+++ b/endivesill/link_peers.py
@@ -48,7 +48,7 @@
         self._cancelled_paths: set[str] = set()
         self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, LONGEST_IDLE_S)
 
-    def cancel_with_caller(self, path: str) -> None:
+    def cancel_on_disconnect(self, path: str) -> None:
         """Cancel the handlers of a path whose caller has given up."""
         self._cancelled_paths.add(path)
 
--- a/endivesill/platform/__main__.py
+++ b/endivesill/platform/__main__.py
@@ -19,7 +19,7 @@
 async def run(role: str, settings: NodeSettings) -> None:
     """Run a process of a role until it stops."""
     timer = SystemTimer()
-    log = JsonLog(timer, settings.vm, failed=request_failed)
+    log = JsonLog(timer, settings.vm, classify=request_failed)
     log.start()
     try:
         # Each role loads only what it needs, for a fast start in little memory.
--- a/endivesill/platform/leader_home.py
+++ b/endivesill/platform/leader_home.py
@@ -67,7 +67,7 @@
             random.Random(),
         )
         transport.handle(PLACE_PATH, self._home.handle)
-        transport.cancel_with_caller(PLACE_PATH)
+        transport.cancel_on_disconnect(PLACE_PATH)
         hub.on_change(self._update)
         self._reports = EngineReports(
             timer, PlatformReports(timer, client), self._model_engines
--- a/endivesill/timer.py
+++ b/endivesill/timer.py
@@ -159,23 +159,23 @@
     async def advance(self, delta_s: float) -> None:
         """Move the clock on and run all that falls due, in order of time."""
         end_s = self._now_s + delta_s
-        await settle()
+        await run_ready_tasks()
         while self._heap and self._heap[0][0] <= end_s:
             due_s, _, handle, callback = heapq.heappop(self._heap)
             if handle.cancelled:
                 continue
             self._now_s = max(self._now_s, due_s)
             callback()
-            await settle()
+            await run_ready_tasks()
         self._now_s = end_s
-        await settle()
+        await run_ready_tasks()
 
     def jump(self, delta_s: float) -> None:
         """Move the clock on without running anything, as a suspended process."""
         self._now_s += delta_s
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Let every ready task of the loop run until none is ready."""
     ready = getattr(asyncio.get_running_loop(), "_ready", None)
     if ready is None:
--- a/tests/test_fleet_departures.py
+++ b/tests/test_fleet_departures.py
@@ -12,7 +12,7 @@
 )
 from endivesill.http1 import ResponseHead
 from endivesill.platform.health import decode_health
-from endivesill.timer import ManualTimer, settle
+from endivesill.timer import ManualTimer, run_ready_tasks
 from tests.forwarding_fakes import engine
 
 
@@ -41,7 +41,7 @@
         )
         task = asyncio.ensure_future(self.watch.run())
         self.addCleanup(task.cancel)
-        await settle()
+        await run_ready_tasks()
 
     def _note_change(self):
         self.changes += 1
@@ -49,7 +49,7 @@
     async def check(self, **healthy):
         self.source.healthy = healthy
         await self.timer.advance(CHECK_PERIOD_S)
-        await settle()
+        await run_ready_tasks()
 
     async def test_an_engine_that_turns_unhealthy_is_leaving(self):
         await self.check(e1=True, e2=True)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -5,7 +5,7 @@
 import unittest
 
 from endivesill import errors
-from endivesill.keys import KEY_FILE_POLL_S, KeyFileWatch, KeyRing
+from endivesill.keys import KEY_FILE_POLL_S, KeyFileWatcher, KeyRing
 from endivesill.timer import ManualTimer
 
 OLD = "an-old-key-of-the-tests"
@@ -22,7 +22,7 @@
         self.keys = KeyRing.from_file(str(self.path))
 
     async def watch(self):
-        watch = KeyFileWatch(self.timer, self.keys, str(self.path))
+        watch = KeyFileWatcher(self.timer, self.keys, str(self.path))
         await watch.start()
         return watch
 
