--- a/endivesill/cli_tools.py
+++ b/endivesill/cli_tools.py
@@ -36,11 +36,11 @@
     output
         The form of the answer.
     """
-    story = porcelain.explain(log, request_id)
+    trace = porcelain.explain(log, request_id)
     if output == "json":
-        print(presentation.to_json(format_json(story)))
+        print(presentation.to_json(format_json(trace)))
     else:
-        print(format_text(story))
+        print(format_text(trace))
 
 
 def load(experiment: str, /, *, output: OutputOption = "text") -> None:
--- a/endivesill/drain.py
+++ b/endivesill/drain.py
@@ -1,8 +1,8 @@
-"""The planned stop of a VM: drain, hand over, then stop.
+"""The planned stop of a VM: drain, hand over duties, then stop.
 
-A drain cuts nothing. The VM turns unready at once, goes on accepting while the
-balancer may still send callers, hands over what it leads, and waits without a
-time limit until the last request has ended.
+A drain interrupts no request. The VM reports unready at once, keeps accepting
+requests for as long as the load balancer may still route them here, hands over its
+duties, and waits without a time limit until the last request has ended.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 HandOver = Callable[[], Awaitable[None]]
 
-HAND_OVER_TRIES = 3
+HAND_OVER_ATTEMPTS = 3
 HAND_OVER_TIMEOUT_S = 10.0
 HAND_OVER_BACKOFF_S = 1.0
-POLL_S = 0.1
-WAITING_LOG_S = 10.0
+RUNNING_POLL_PERIOD_S = 0.1
+WAITING_LOG_PERIOD_S = 10.0
 
 
 class DrainState(enum.Enum):
@@ -43,17 +43,18 @@
 
 
 class DrainService(Service):
-    """Drains this VM when it is told to.
+    """Drains this VM on request or when the configuration says that it leaves.
 
     Args:
       kernel: the process's kernel.
       vm_name: this VM's name.
-      balancer_lag_s: how long new callers may still come after it is unready.
-      running: returns how many requests run.
-      configuration: tells when operators want the VM to leave.
+      balancer_lag_s: how long the load balancer may still route new requests here
+        after the VM reports unready.
+      running: returns the number of running requests.
+      configuration: the source that marks this VM as leaving.
 
     Attributes:
-      state: how far the drain is.
+      state: the state of the drain.
     """
 
     def __init__(
@@ -76,53 +77,56 @@
         self.state = DrainState.SERVING
 
     def add_hand_over(self, name: str, hand_over: HandOver) -> None:
-        """Register what hands a duty over; they run in this order."""
+        """Register a function that hands over a duty, such as leadership.
+
+        The functions run in the order of registration.
+        """
         self._hand_overs.append((name, hand_over))
 
     def subscribe(self, listener: Callable[[DrainState], None]) -> None:
-        """Call a listener with each new state."""
+        """Call a listener with the new state after each state change."""
         self._listeners.append(listener)
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Return whether the load balancer may route requests to this VM."""
         return self.state is DrainState.SERVING
 
     def accepts(self) -> bool:
-        """Tell whether new requests are still taken.
+        """Return whether new requests are still accepted.
 
-        They are while the balancer may not know yet; afterwards a caller that
-        comes all the same is told to go elsewhere, so that the drain ends.
+        During a drain they are accepted until the balancer lag has passed. Later
+        requests are refused, so that the drain ends.
         """
         return self._kernel.timer.now_s() < self._accepts_until_s
 
     async def start(self) -> None:
-        """Begin to watch the configuration."""
-        self._configuration.subscribe(self._configured)
-        self._configured(self._configuration.current())
+        """Subscribe to the configuration; drain if this VM is already leaving."""
+        self._configuration.subscribe(self._apply_configuration)
+        self._apply_configuration(self._configuration.current())
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         vm = configuration.vms.get(self._vm_name)
         if vm is not None and vm.leaving:
             self.begin("configuration")
 
     def begin(self, reason: str) -> None:
-        """Begin the drain; a second call does nothing.
+        """Start the drain; has no effect if it has already started.
 
         Args:
-          reason: who asked for it, for the log.
+          reason: what requested the drain, for the log.
         """
         if self.state is not DrainState.SERVING:
             return
         events.emit(DRAIN_BEGUN, vm=self._vm_name, reason=reason)
         self._accepts_until_s = self._kernel.timer.now_s() + self._balancer_lag_s
-        self._enter(DrainState.DRAINING)
+        self._set_state(DrainState.DRAINING)
         self._kernel.supervise("drain", self._drain)
 
     async def wait_drained(self) -> None:
-        """Wait until the VM may stop."""
+        """Wait until the drain is complete and the VM may stop."""
         await self._drained.wait()
 
-    def _enter(self, state: DrainState) -> None:
+    def _set_state(self, state: DrainState) -> None:
         self.state = state
         for listener in self._listeners:
             listener(state)
@@ -130,33 +134,33 @@
     async def _drain(self) -> None:
         for name, hand_over in self._hand_overs:
             await self._hand_over(name, hand_over)
-        left_s = self._accepts_until_s - self._kernel.timer.now_s()
-        await self._kernel.timer.sleep(max(0.0, left_s))
+        remaining_s = self._accepts_until_s - self._kernel.timer.now_s()
+        await self._kernel.timer.sleep(max(0.0, remaining_s))
         await self._wait_for_requests()
         events.emit(DRAIN_DONE, vm=self._vm_name)
-        self._enter(DrainState.DRAINED)
+        self._set_state(DrainState.DRAINED)
         self._drained.set()
 
     async def _hand_over(self, name: str, hand_over: HandOver) -> None:
-        """Hand one duty over; the drain goes on if it fails for good."""
+        """Hand over one duty; the drain continues if all attempts fail."""
         error = ""
-        for attempt in range(HAND_OVER_TRIES):
+        for attempt in range(HAND_OVER_ATTEMPTS):
             if attempt:
                 await self._kernel.timer.sleep(HAND_OVER_BACKOFF_S)
             try:
                 await self._kernel.timer.wait_for(hand_over(), HAND_OVER_TIMEOUT_S)
-            except Exception as failure:
-                error = repr(failure)
+            except Exception as exception:
+                error = repr(exception)
                 continue
             events.emit(DRAIN_HANDED_OVER, duty=name, done=True)
             return
         events.emit(DRAIN_HANDED_OVER, duty=name, done=False, error=error)
 
     async def _wait_for_requests(self) -> None:
-        logged_s = float("-inf")
+        last_logged_s = float("-inf")
         while self._running() > 0:
             now_s = self._kernel.timer.now_s()
-            if now_s - logged_s >= WAITING_LOG_S:
-                logged_s = now_s
+            if now_s - last_logged_s >= WAITING_LOG_PERIOD_S:
+                last_logged_s = now_s
                 events.emit(DRAIN_WAITING, running=self._running())
-            await self._kernel.timer.sleep(POLL_S)
+            await self._kernel.timer.sleep(RUNNING_POLL_PERIOD_S)
--- a/endivesill/errors.py
+++ b/endivesill/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree of endivesill."""
+"""The exception hierarchy of endivesill."""
 
 from __future__ import annotations
 
@@ -36,18 +36,22 @@
 
 
 class RunState(enum.Enum):
-    """What is known of a request that was not answered in full."""
+    """Whether a target may have run a request that got no complete response."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class EndivesillError(Exception):
-    """Base of every error that endivesill raises on purpose."""
+    """Base class of all errors that endivesill raises."""
 
 
 class FindingsError(EndivesillError):
-    """Settings or configuration with one error or more."""
+    """Settings or configuration that failed validation.
+
+    Attributes:
+      findings: every `Finding`, each with file and line.
+    """
 
     def __init__(self, findings: list) -> None:
         super().__init__("\n".join(str(finding) for finding in findings))
@@ -55,14 +59,14 @@
 
 
 class DeadlineExceededError(EndivesillError):
-    """A wait that the timer service ended."""
+    """An operation did not complete within its time limit."""
 
 
 class PeerUnreachableError(EndivesillError):
-    """A peer that did not answer; the message may or may not have arrived.
+    """A peer did not respond; the message may or may not have arrived.
 
     Attributes:
-      sent: whether a part of the message may have left.
+      sent: whether any byte of the message may have been sent.
     """
 
     def __init__(self, detail: str, *, sent: bool = True) -> None:
@@ -71,30 +75,30 @@
 
 
 class DocumentError(EndivesillError):
-    """A document from outside that cannot be used; the text names the place."""
+    """An external document is invalid; the text names the location in it."""
 
 
 class OrderError(EndivesillError):
-    """An order to an engine that is wrong in itself."""
+    """An order to an engine is invalid."""
 
 
 class PeerMessageError(EndivesillError):
-    """A message from a peer that cannot be read."""
+    """A message from a peer cannot be decoded."""
 
 
 class VmListError(EndivesillError):
-    """A VM list that cannot be read."""
+    """A VM list cannot be read or is invalid."""
 
 
 class UnavailableError(EndivesillError):
-    """No quorum, no leader or no lease: nothing was changed."""
+    """There is no quorum, leader or lease; nothing was changed."""
 
 
 class NotLeaderError(UnavailableError):
-    """A proposal at a replica that does not lead.
+    """A proposal reached a replica that is not the leader.
 
     Attributes:
-      leader_address: the peer address of the known leader, if any.
+      leader_address: the peer address of the leader; None if unknown.
     """
 
     def __init__(self, leader_address: str | None = None) -> None:
@@ -103,35 +107,35 @@
 
 
 class OutcomeUnknownError(EndivesillError):
-    """A proposal that may or may not have been committed."""
+    """A proposal may or may not have been committed."""
 
 
 class UnsafeChangeError(EndivesillError):
-    """A change of voters that would risk the quorum; nothing was changed."""
+    """A change of the voters would risk the quorum; nothing was changed."""
 
 
 class ConflictError(EndivesillError):
-    """An operator's change that lost against another one."""
+    """An operator's change conflicts with an earlier one; nothing was changed."""
 
 
 class StorageError(EndivesillError):
-    """A disk that refused a write or a sync."""
+    """A write or sync to disk failed."""
 
 
 class DiskFullError(StorageError):
-    """A write that found no space; it may be tried again."""
+    """The disk is full; the write may be retried."""
 
 
 class StorageCorruptError(StorageError):
-    """A damaged record that is not the torn tail of a log."""
+    """A stored record is corrupt and is not the torn tail of a log."""
 
 
 class RequestError(EndivesillError):
-    """A caller's request that is wrong in itself (a 4xx answer).
+    """A caller's request is invalid (4xx response).
 
     Attributes:
-      status: the HTTP status.
-      field: the name of the field at fault, or the empty string.
+      status: the HTTP status of the response.
+      field: the name of the invalid field; empty if none.
     """
 
     def __init__(self, status: int, detail: str, field: str = "") -> None:
@@ -141,20 +145,20 @@
 
 
 class CallerGoneError(EndivesillError):
-    """A caller that went away before the end of its answer."""
+    """The caller disconnected before the end of the response."""
 
     def __init__(self) -> None:
         super().__init__("the caller went away")
 
 
 class RefusedError(EndivesillError):
-    """Work that endivesill does not take or could not complete.
+    """A request was not admitted or could not be completed.
 
     Attributes:
       reason: a short, stable code such as `queue-full`.
       run: whether the target may have run the request.
-      retry_after_s: when a new try may help, in seconds; None if unknown.
-      status: the HTTP status of the answer.
+      retry_after_s: after how many seconds a retry may succeed; None if unknown.
+      status: the HTTP status of the response.
     """
 
     def __init__(
@@ -173,11 +177,11 @@
 
 
 class TargetError(EndivesillError):
-    """An exchange with a target that failed.
+    """An exchange with a target failed.
 
     Attributes:
       run: NOT_RUN only if no byte can have reached the target or if the
-        target itself says so.
+        target reports that it did not run the request.
     """
 
     def __init__(self, detail: str, run: RunState = RunState.UNKNOWN) -> None:
@@ -186,7 +190,7 @@
 
 
 class TargetStatusError(TargetError):
-    """A target that answered with an error status.
+    """A target responded with an error status.
 
     Attributes:
       status: the HTTP status.
@@ -198,29 +202,29 @@
 
 
 class TargetRefusedError(TargetError):
-    """A target that says itself that it did not run the request."""
+    """A target reported that it did not run the request."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail, RunState.NOT_RUN)
 
 
 class TargetUnreachableError(TargetRefusedError):
-    """A target to which no connection was made: no byte went out."""
+    """No connection to a target could be made; no byte was sent."""
 
 
 class GrantExpiredError(TargetUnreachableError):
-    """An attempt whose leave to start ended before its first byte went out."""
+    """The admission grant of an attempt expired before its first byte was sent."""
 
 
 class SupersededError(TargetError):
-    """A generation that a newer attempt streams."""
+    """A newer attempt has taken over the stream of a generation."""
 
 
 class TargetGoneError(TargetError):
-    """A generation that an engine does not hold.
+    """An engine does not hold the requested generation.
 
     Attributes:
-      moved_to: the address of the engine that it was moved to; empty if none.
+      moved_to: the address of the engine that now holds it; empty if unknown.
     """
 
     def __init__(self, detail: str, moved_to: str = "") -> None:
--- a/endivesill/explain.py
+++ b/endivesill/explain.py
@@ -1,8 +1,8 @@
-"""The story of one request, from the log lines of one process or more.
+"""Traces of single requests, assembled from the logs of one or more processes.
 
-Pure functions over lines of JSON as eliot writes them. The request's own lines
-are joined by those of other requests about the same generation, such as a
-caller that came back through another entry.
+Pure functions over log lines in eliot's JSON format. The trace of a request also
+has the events of other requests about the same generation, such as a caller that
+reconnected through another entry.
 """
 
 from __future__ import annotations
@@ -14,18 +14,26 @@
 
 import attrs
 
-__all__ = ["Step", "Story", "explain", "format_json", "format_text", "read_steps"]
+__all__ = [
+    "TraceEvent",
+    "RequestTrace",
+    "explain",
+    "format_json",
+    "format_text",
+    "read_trace_events",
+]
 
 ENVELOPE = frozenset(
     ("timestamp", "task_uuid", "task_level", "message_type", "event", "action_type")
 )
 REQUEST_FIELD = "request_id"
 GENERATION_FIELD = "generation_id"
-CHOSEN = ("route-chosen", "request-placed")
-DROPPED = "log-lines-dropped"
-# Dropped lines are told once a second, after the second in which they were.
-DROPPED_SPAN_S = 2.0
-RECEIVED = "request-received"
+TARGET_CHOSEN = ("route-chosen", "request-placed")
+LINES_DROPPED = "log-lines-dropped"
+# Dropped lines are reported once a second, after the second in which they were
+# dropped.
+DROPPED_REPORT_DELAY_S = 2.0
+REQUEST_RECEIVED = "request-received"
 ENDINGS = (
     "request-ended",
     "request-refused",
@@ -33,18 +41,18 @@
     "caller-gone",
     "stream-broken",
 )
-OPEN_ENDING = "running, or its log ends here"
+NO_ENDING = "running, or its log ends here"
 
 
 @attrs.frozen
-class Step:
-    """One log line of the story.
+class TraceEvent:
+    """One event of a trace.
 
     Attributes:
-      time_s: when it was written, in seconds since 1970.
+      time_s: when it was logged, in seconds since 1970.
       number: the event's number.
       name: the event's name.
-      fields: what it says.
+      fields: the event's own_events fields, without the log envelope.
     """
 
     time_s: float
@@ -54,22 +62,23 @@
 
     @property
     def request_id(self) -> str:
-        """The request that it is about, or an empty string."""
+        """The id of the request that the event concerns, or an empty string."""
         return str(self.fields.get(REQUEST_FIELD, ""))
 
 
 @attrs.frozen
-class Story:
+class RequestTrace:
     """What happened to one request.
 
     Attributes:
-      request_id: the request.
-      organisation: whose request it is, or an empty string.
-      targets: the targets that were chosen, in order.
-      rejected: for each choice, how many targets were passed over, by reason.
+      request_id: the id of the request.
+      organisation: the organisation that sent it, or an empty string.
+      targets: the chosen targets, in order.
+      rejected: for each chosen target, the number of rejected targets by reason.
       ending: the name of the event that ended it, with its reason.
-      steps: all lines, in order of time.
-      missing: lines that the processes left out at that time, by event name.
+      steps: all events, in order of time.
+      missing: number of log lines that the processes dropped during the trace, by
+        event name.
     """
 
     request_id: str
@@ -77,25 +86,25 @@
     targets: tuple[str, ...]
     rejected: tuple[dict[str, int], ...]
     ending: str
-    steps: tuple[Step, ...]
+    steps: tuple[TraceEvent, ...]
     missing: dict[str, int] = attrs.Factory(dict)
 
 
-def read_steps(lines: Iterable[str]) -> list[Step]:
-    """Return the events of log lines; lines that are no events are left out."""
+def read_trace_events(lines: Iterable[str]) -> list[TraceEvent]:
+    """Parse log lines into events; skip lines that are not events."""
     steps = []
     for line in lines:
-        step = _step(line)
-        if step is not None:
-            steps.append(step)
+        event = _parse_event(line)
+        if event is not None:
+            steps.append(event)
     return steps
 
 
-def _step(line: str) -> Step | None:
+def _parse_event(line: str) -> TraceEvent | None:
     try:
         document = json.loads(line)
         fields = {k: v for k, v in document.items() if k not in ENVELOPE}
-        return Step(
+        return TraceEvent(
             float(document["timestamp"]),
             int(document["event"]),
             str(document["message_type"]),
@@ -105,75 +114,75 @@
         return None
 
 
-def explain(lines: Iterable[str], request_id: str) -> Story | None:
-    """Tell the story of a request.
+def explain(lines: Iterable[str], request_id: str) -> RequestTrace | None:
+    """Assemble the trace of a request.
 
     Args:
       lines: log lines of any number of processes, in any order.
-      request_id: the request, as the header `X-Request-Id` gave it.
+      request_id: the value of the response header `X-Request-Id`.
 
     Returns:
-      The story, or None if no line is about the request.
+      The trace, or None if no line has this request id.
     """
-    every = read_steps(lines)
-    steps = [step for step in every if _may_concern(step)]
-    own = [step for step in steps if step.request_id == request_id]
-    if not own:
+    all_events = read_trace_events(lines)
+    steps = [event for event in all_events if _has_request_or_generation(event)]
+    own_events = [event for event in steps if event.request_id == request_id]
+    if not own_events:
         return None
-    generations = {step.fields.get(GENERATION_FIELD) for step in own} - {None}
-    told = [
-        step
-        for step in steps
-        if step.request_id == request_id
-        or step.fields.get(GENERATION_FIELD) in generations
+    generations = {event.fields.get(GENERATION_FIELD) for event in own_events} - {None}
+    related = [
+        event
+        for event in steps
+        if event.request_id == request_id
+        or event.fields.get(GENERATION_FIELD) in generations
     ]
-    told.sort(key=lambda step: step.time_s)
-    own.sort(key=lambda step: step.time_s)
-    choices = [step for step in own if step.name in CHOSEN]
-    return Story(
+    related.sort(key=lambda event: event.time_s)
+    own_events.sort(key=lambda event: event.time_s)
+    choices = [event for event in own_events if event.name in TARGET_CHOSEN]
+    return RequestTrace(
         request_id=request_id,
-        organisation=_organisation(own),
-        targets=tuple(str(step.fields.get("target", "")) for step in choices),
-        rejected=tuple(_rejected(step.fields.get("rejected")) for step in choices),
-        ending=_ending(own),
-        steps=tuple(told),
-        missing=_missing(every, told[0].time_s, told[-1].time_s),
+        organisation=_organisation(own_events),
+        targets=tuple(str(event.fields.get("target", "")) for event in choices),
+        rejected=tuple(_rejected(event.fields.get("rejected")) for event in choices),
+        ending=_ending(own_events),
+        steps=tuple(related),
+        missing=_missing(all_events, related[0].time_s, related[-1].time_s),
     )
 
 
-def _missing(steps: list[Step], begin_s: float, end_s: float) -> dict[str, int]:
-    """Return how many lines were left out while a story went on, by event name."""
+def _missing(steps: list[TraceEvent], begin_s: float, end_s: float) -> dict[str, int]:
+    """Count the log lines that were dropped between two times, by event name."""
     counts: collections.Counter[str] = collections.Counter()
-    for step in steps:
-        told = begin_s <= step.time_s <= end_s + DROPPED_SPAN_S
-        if step.name == DROPPED and told:
-            counts.update(step.fields.get("counts", {}))
+    for event in steps:
+        in_period = begin_s <= event.time_s <= end_s + DROPPED_REPORT_DELAY_S
+        if event.name == LINES_DROPPED and in_period:
+            counts.update(event.fields.get("counts", {}))
     return dict(counts)
 
 
-def _may_concern(step: Step) -> bool:
-    return REQUEST_FIELD in step.fields or GENERATION_FIELD in step.fields
+def _has_request_or_generation(event: TraceEvent) -> bool:
+    return REQUEST_FIELD in event.fields or GENERATION_FIELD in event.fields
 
 
-def _organisation(steps: list[Step]) -> str:
-    for step in steps:
-        if step.name == RECEIVED:
-            return str(step.fields.get("organisation", ""))
+def _organisation(steps: list[TraceEvent]) -> str:
+    for event in steps:
+        if event.name == REQUEST_RECEIVED:
+            return str(event.fields.get("organisation", ""))
     return ""
 
 
-def _ending(steps: list[Step]) -> str:
-    """Return the first ending: what follows a broken stream is its consequence."""
-    for step in steps:
-        if step.name in ENDINGS:
+def _ending(steps: list[TraceEvent]) -> str:
+    """Return the first ending; endings after a broken stream follow from it."""
+    for event in steps:
+        if event.name in ENDINGS:
             reason = (
-                step.fields.get("error")
-                or step.fields.get("reason")
-                or step.fields.get("outcome")
-                or step.fields.get("status")
+                event.fields.get("error")
+                or event.fields.get("reason")
+                or event.fields.get("outcome")
+                or event.fields.get("status")
             )
-            return f"{step.name}: {reason}" if reason else step.name
-    return OPEN_ENDING
+            return f"{event.name}: {reason}" if reason else event.name
+    return NO_ENDING
 
 
 def _rejected(value: Any) -> dict[str, int]:
@@ -182,38 +191,38 @@
     return {str(reason): int(count) for reason, count in value.items()}
 
 
-def format_json(story: Story) -> dict[str, Any]:
-    """Return the story as a JSON object."""
-    return attrs.asdict(story)
+def format_json(trace: RequestTrace) -> dict[str, Any]:
+    """Return the trace as a JSON object."""
+    return attrs.asdict(trace)
 
 
-def format_text(story: Story) -> str:
-    """Return the story as text, with times from its first line."""
+def format_text(trace: RequestTrace) -> str:
+    """Return the trace as text, with times relative to its first event."""
     lines = [
-        f"request      {story.request_id}",
-        f"organisation {story.organisation or '-'}",
-        f"ended        {story.ending}",
+        f"request      {trace.request_id}",
+        f"organisation {trace.organisation or '-'}",
+        f"ended        {trace.ending}",
     ]
-    for target, rejected in zip(story.targets, story.rejected, strict=True):
+    for target, rejected in zip(trace.targets, trace.rejected, strict=True):
         lines.append(f"chosen       {target}")
         lines += [
-            f"  passed over {count}: {reason}"
+            f"  rejected {count}: {reason}"
             for reason, count in sorted(rejected.items())
         ]
     lines += [
-        f"left out     {count} lines of {name} in this time"
-        for name, count in sorted(story.missing.items())
+        f"dropped      {count} log lines of {name} in this period"
+        for name, count in sorted(trace.missing.items())
     ]
     lines.append("")
-    begin_s = story.steps[0].time_s
-    lines += [_line(step, begin_s, story.request_id) for step in story.steps]
+    begin_s = trace.steps[0].time_s
+    lines += [_line(event, begin_s, trace.request_id) for event in trace.steps]
     return "\n".join(lines) + "\n"
 
 
-def _line(step: Step, begin_s: float, request_id: str) -> str:
-    shown = {k: v for k, v in step.fields.items() if v != request_id}
-    fields = " ".join(f"{key}={_value(value)}" for key, value in shown.items())
-    return f"{step.time_s - begin_s:+10.3f} s  {step.name:<20} {fields}".rstrip()
+def _line(event: TraceEvent, begin_s: float, request_id: str) -> str:
+    fields_to_show = {k: v for k, v in event.fields.items() if v != request_id}
+    fields = " ".join(f"{key}={_value(value)}" for key, value in fields_to_show.items())
+    return f"{event.time_s - begin_s:+10.3f} s  {event.name:<20} {fields}".rstrip()
 
 
 def _value(value: Any) -> str:
--- a/endivesill/fleet_status.py
+++ b/endivesill/fleet_status.py
@@ -1,4 +1,4 @@
-"""Which VM of the fleet may be stopped next, and why another one may not."""
+"""Which VMs of the fleet may be stopped next, and the reasons against the others."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class VmStatus:
-    """One line of the fleet's status.
+    """The status of one VM.
 
     Attributes:
       vm: the VM.
-      draining: whether it is on its way out.
-      voter: whether it votes in the control group.
+      draining: whether it is leaving the fleet or has been told to drain.
+      voter: whether it is a voter of the control group.
       may_go: whether it may be stopped now.
-      reasons: why it may not.
+      reasons: why it may not be stopped; empty if it may.
     """
 
     vm: VmRecord
@@ -36,9 +36,9 @@
     """Return the status of each VM, ordered by name.
 
     Args:
-      vms: the VMs as membership knows them.
+      vms: the VMs of the membership view.
       voters: the names of the control group's voters.
-      draining: the names of the VMs that operators have told to drain.
+      draining: the names of the VMs that operators have told to leave.
     """
     records = sorted(vms, key=lambda vm: vm.name)
     leaving = {vm.name for vm in records if vm.state is VmState.LEAVING}
@@ -59,23 +59,23 @@
     others_leaving = sorted(leaving - {vm.name})
     if others_leaving:
         reasons.append(f"{', '.join(others_leaving)} is on its way out")
-    up = {r.name for r in records if r.state is VmState.ALIVE} - leaving - {vm.name}
+    alive = {r.name for r in records if r.state is VmState.ALIVE} - leaving - {vm.name}
     joining = [r.name for r in records if r.state is VmState.JOINING]
     if joining:
         reasons.append(f"{', '.join(joining)} has not joined yet")
     quorum = len(voters) // 2 + 1
-    if vm.name in voters and len(voters & up) < quorum:
+    if vm.name in voters and len(voters & alive) < quorum:
         reasons.append(f"the control group would lose its quorum of {quorum}")
-    if "entry" in vm.roles and not _has_other_entry(vm, records, up):
+    if "entry" in vm.roles and not _has_other_entry(vm, records, alive):
         reasons.append(f"it is the last entry of {vm.data_centre}")
     return VmStatus(
         vm, vm.name in leaving, vm.name in voters, not reasons, tuple(reasons)
     )
 
 
-def _has_other_entry(vm: VmRecord, records: list[VmRecord], up: set[str]) -> bool:
+def _has_other_entry(vm: VmRecord, records: list[VmRecord], alive: set[str]) -> bool:
     return any(
-        other.name in up
+        other.name in alive
         and other.data_centre == vm.data_centre
         and "entry" in other.roles
         for other in records
--- a/endivesill/operators/__init__.py
+++ b/endivesill/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operator port and its client."""
+"""The operator port, an HTTP API for operators, and its client."""
 
 from endivesill.operators.application import OperatorApplication
 from endivesill.operators.client import OperatorClient
--- a/endivesill/operators/application.py
+++ b/endivesill/operators/application.py
@@ -1,4 +1,4 @@
-"""The ASGI application of the operator port: JSON for all that operators do."""
+"""The ASGI application of the operator port: a JSON API for operators."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 PROPOSE_TIMEOUT_S = 10.0
 QUERY_TIMEOUT_S = 5.0
 
-OPEN_PATHS = ("/health",)
+UNAUTHENTICATED_PATHS = ("/health",)
 
-OUTCOME_STATUS = {"accepted": 200, "unchanged": 200, "conflict": 409, "refused": 422}
+STATUS_BY_OUTCOME = {"accepted": 200, "unchanged": 200, "conflict": 409, "refused": 422}
 
-ERROR_STATUS: tuple[tuple[type[errors.EndivesillError], int, str], ...] = (
+STATUS_BY_ERROR: tuple[tuple[type[errors.EndivesillError], int, str], ...] = (
     (errors.OutcomeUnknownError, 504, "outcome-unknown"),
     (errors.UnavailableError, 503, "unavailable"),
     (errors.DeadlineExceededError, 503, "unavailable"),
@@ -68,12 +68,12 @@
     "value": bool,
 }
 
-Action = Callable[[Request], Awaitable[Response]]
+RequestHandler = Callable[[Request], Awaitable[Response]]
 
 
 @attrs.frozen
 class OperatorApplication:
-    """Answers operators.
+    """Handles requests to the operator port.
 
     Args:
       timer: the timer service.
@@ -81,11 +81,11 @@
       keys: the keys of the port.
       metrics: the process's metrics.
       control: the replicated state.
-      voters: administers the voters.
-      membership: the fleet.
-      configuration: the configuration on this VM.
-      progress: how far a revision is.
-      drain: the planned stop of this VM.
+      voters: administers the voters of the control group.
+      membership: this VM's view of the fleet.
+      configuration: the configuration in force on this VM.
+      progress: reports whether a revision is in force on all VMs.
+      drain: drains this VM.
     """
 
     timer: TimerService
@@ -101,7 +101,7 @@
 
     def starlette(self) -> Starlette:
         """Return the ASGI application."""
-        actions: list[tuple[str, str, Action]] = [
+        handlers: list[tuple[str, str, RequestHandler]] = [
             ("GET", "/health", self._health),
             ("GET", "/metrics", self._metrics),
             ("GET", "/v1/status", self._status),
@@ -116,30 +116,34 @@
             ("POST", "/v1/drain", self._drain),
         ]
         routes = [
-            Route(path, self._guarded(action), methods=[method])
-            for method, path, action in actions
+            Route(path, self._with_authentication(handler), methods=[method])
+            for method, path, handler in handlers
         ]
         return Starlette(routes=routes)
 
-    def _guarded(self, action: Action) -> Action:
-        """Let no one in without a key and turn errors into answers."""
+    def _with_authentication(self, handler: RequestHandler) -> RequestHandler:
+        """Require a valid key and turn errors into JSON responses."""
 
-        async def guarded(request: Request) -> Response:
+        async def authenticated(request: Request) -> Response:
             path = request.url.path
             authorization = request.headers.get("authorization")
-            if path not in OPEN_PATHS and not self.keys.accepts(authorization):
+            if path not in UNAUTHENTICATED_PATHS and not self.keys.accepts(
+                authorization
+            ):
                 client = request.client.host if request.client else ""
                 events.emit(KEY_REFUSED, port="operator", client=client)
-                return _error(401, "key", "the operator port needs a valid key")
+                return _error_response(
+                    401, "key", "the operator port needs a valid key"
+                )
             try:
-                return await action(request)
+                return await handler(request)
             except errors.RequestError as error:
-                return _error(error.status, "request", str(error))
+                return _error_response(error.status, "request", str(error))
             except errors.EndivesillError as error:
                 events.emit(OPERATOR_CALL_FAILED, path=path, error=str(error))
-                return _error_answer(error)
+                return _response_for_error(error)
 
-        return guarded
+        return authenticated
 
     async def _health(self, request: Request) -> Response:
         ready = self.configuration.holds_lease() and self.drain.is_ready()
@@ -151,7 +155,7 @@
     async def _status(self, request: Request) -> Response:
         current = self.configuration.current()
         states = [vm.state.value for vm in self.membership.vms()]
-        answer: Message = {
+        summary: Message = {
             "vm": self.vm.name,
             "data_centre": self.vm.data_centre,
             "roles": list(self.vm.roles),
@@ -167,19 +171,19 @@
         }
         try:
             cluster = await self.voters.status()
-            answer["control"] = {
+            summary["control"] = {
                 "leader": cluster.leader,
                 "spare_voters": cluster.spare_voters,
             }
         except errors.EndivesillError as error:
-            answer["control"] = {"unavailable": str(error)}
-        return JSONResponse(answer)
+            summary["control"] = {"unavailable": str(error)}
+        return JSONResponse(summary)
 
     async def _fleet(self, request: Request) -> Response:
-        """Answer with the VMs and which of them may be stopped next."""
+        """List the VMs and whether each may be stopped next."""
         vms = self.membership.vms()
-        leaving = self.configuration.current().vms.values()
-        draining = {vm.name for vm in leaving if vm.leaving}
+        configured = self.configuration.current().vms.values()
+        draining = {vm.name for vm in configured if vm.leaving}
         blocked: tuple[str, ...] = ()
         voters: set[str] = set()
         try:
@@ -199,8 +203,8 @@
             }
             for status in fleet_status(vms, voters, draining)
         ]
-        counted = sum(row["state"] != VmState.GONE.value for row in rows)
-        return JSONResponse({"vms": rows, "count": counted})
+        remaining = sum(row["state"] != VmState.GONE.value for row in rows)
+        return JSONResponse({"vms": rows, "count": remaining})
 
     async def _documents(self, request: Request) -> Response:
         message = {"origins": "origins" in request.query_params}
@@ -211,42 +215,46 @@
         )
 
     async def _history(self, request: Request) -> Response:
-        message = {"limit": int(_number(request, "limit", 20))}
+        message = {"limit": int(_number_parameter(request, "limit", 20))}
         return JSONResponse(
             await self.control.query("configuration.history", message, QUERY_TIMEOUT_S)
         )
 
     async def _progress(self, request: Request) -> Response:
-        revision = int(_number(request, "revision", 0))
-        accepted_for_s = _number(request, "accepted_for_s", 0.0)
+        revision = int(_number_parameter(request, "revision", 0))
+        accepted_for_s = _number_parameter(request, "accepted_for_s", 0.0)
         progress = await self.progress.of(revision, accepted_for_s)
         return JSONResponse(attrs.asdict(progress))
 
     async def _apply(self, request: Request) -> Response:
-        return await self._propose(APPLY, await _body(request, APPLY_FIELDS))
+        return await self._propose(APPLY, await _json_body(request, APPLY_FIELDS))
 
     async def _change(self, request: Request) -> Response:
-        return await self._propose(CHANGE, await _body(request, CHANGE_FIELDS))
+        return await self._propose(CHANGE, await _json_body(request, CHANGE_FIELDS))
 
     async def _propose(self, command: str, message: Message) -> Response:
         message["wall_time_s"] = self.timer.wall_time_s()
-        answer = await self.control.propose(command, message, PROPOSE_TIMEOUT_S)
+        proposal_result = await self.control.propose(
+            command, message, PROPOSE_TIMEOUT_S
+        )
         events.emit(
             CHANGE_ANSWERED,
             command=command,
             number=message["number"],
             operator=message["operator"],
-            outcome=answer["outcome"],
-            revision=answer["revision"],
+            outcome=proposal_result["outcome"],
+            revision=proposal_result["revision"],
+        )
+        return JSONResponse(
+            proposal_result, status_code=STATUS_BY_OUTCOME[proposal_result["outcome"]]
         )
-        return JSONResponse(answer, status_code=OUTCOME_STATUS[answer["outcome"]])
 
     async def _control(self, request: Request) -> Response:
         return JSONResponse(attrs.asdict(await self.voters.status()))
 
     async def _change_voters(self, request: Request) -> Response:
         operation = request.path_params["operation"]
-        body = await _body(request, {"replica": str, "address": str})
+        body = await _json_body(request, {"replica": str, "address": str})
         replica, address = body["replica"], body["address"]
         if operation == "add":
             result = await self.voters.add(address)
@@ -270,18 +278,18 @@
         return JSONResponse({"vm": self.vm.name, "state": self.drain.state.value})
 
 
-def _error(status: int, code: str, text: str) -> Response:
+def _error_response(status: int, code: str, text: str) -> Response:
     return JSONResponse({"error": code, "detail": text}, status_code=status)
 
 
-def _error_answer(error: errors.EndivesillError) -> Response:
-    for kind, status, code in ERROR_STATUS:
+def _response_for_error(error: errors.EndivesillError) -> Response:
+    for kind, status, code in STATUS_BY_ERROR:
         if isinstance(error, kind):
-            return _error(status, code, str(error))
+            return _error_response(status, code, str(error))
     raise error
 
 
-def _number(request: Request, name: str, default: float) -> float:
+def _number_parameter(request: Request, name: str, default: float) -> float:
     text = request.query_params.get(name, str(default))
     try:
         return float(text)
@@ -289,11 +297,11 @@
         raise errors.RequestError(400, f"{name} is not a number", name) from None
 
 
-async def _body(request: Request, fields: dict[str, type]) -> dict[str, Any]:
-    """Return the JSON object of a request with exactly these fields.
+async def _json_body(request: Request, fields: dict[str, type]) -> dict[str, Any]:
+    """Return the request's JSON body, which must have exactly the given fields.
 
     Raises:
-      RequestError: it is no such object.
+      RequestError: the body is not such an object (400).
     """
     try:
         body = json.loads(await request.body())
--- a/endivesill/operators/client.py
+++ b/endivesill/operators/client.py
@@ -1,4 +1,4 @@
-"""The client of the operator port: several servers, tried in turn."""
+"""The client of the operator port, with failover between servers."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 CALL_TIMEOUT_S = 40.0
 CONNECT_TIMEOUT_S = 2.0
-RETRY_S = 0.3
+RETRY_DELAY_S = 0.3
 
-# Answers of a server that another one may do better.
-RETRIED_STATUS = (502, 503, 504)
+# Another server may succeed after one of these.
+RETRIED_STATUSES = (502, 503, 504)
 
 
 class OperatorClient:
     """Calls the operator ports of a fleet.
 
-    A call that changes something carries a number, so that it may be sent again
-    after a lost answer.
+    Each change carries an idempotency number, so that it can be resent when the
+    response was lost.
 
     Args:
-      servers: HOST:PORT of the operator ports.
-      keys: the keys; the first is sent.
-      timeout_s: how long to go on until a server answers.
+      servers: HOST:PORT of each operator port, in order of preference.
+      keys: the keys; the first one is sent.
+      timeout_s: how long to retry until a server responds.
       ssl_context: the TLS context; None for plain HTTP.
       timer: the timer service.
     """
@@ -53,7 +53,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> OperatorClient:
-        """Open the client."""
+        """Open the HTTP session."""
         timeout = aiohttp.ClientTimeout(
             total=CALL_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
         )
@@ -61,24 +61,29 @@
         return self
 
     async def __aexit__(self, *details: object) -> None:
-        """Close the client."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
 
     async def get(self, path: str, **parameters: Any) -> Message:
-        """Read from the first server that answers; see `post`."""
+        """Send a GET request to the first server that responds.
+
+        Raises:
+          UnavailableError: no server responded in time.
+          EndivesillError: the key or the request is invalid.
+        """
         texts = {name: str(value) for name, value in parameters.items()}
         return await self._call("GET", path, texts, None)
 
     async def post(self, path: str, body: Message) -> Message:
-        """Send a change to the first server that takes it.
+        """Send a change to the first server that accepts it.
 
         Raises:
-          ConflictError: it lost against another one.
-          FindingsError: it was refused; nothing was changed.
-          UnavailableError: no server could carry it out.
-          OutcomeUnknownError: it may or may not have been carried out.
-          EndivesillError: the key or the request is wrong.
+          ConflictError: it conflicts with another change.
+          FindingsError: it failed validation; nothing was changed.
+          UnavailableError: no server could apply it; nothing was changed.
+          OutcomeUnknownError: it may or may not have been applied.
+          EndivesillError: the key or the request is invalid.
         """
         return await self._call("POST", path, {}, body)
 
@@ -86,36 +91,38 @@
         self, method: str, path: str, parameters: dict[str, str], body: Message | None
     ) -> Message:
         deadline_s = self.timer.now_s() + self._timeout_s
-        problem = "no server was given"
+        problem = "no server address was given"
         may_have_run = False
         while True:
             for server in list(self._servers):
                 try:
-                    status, answer = await self._call_one(
+                    status, response_body = await self._call_server(
                         method, server, path, parameters, body
                     )
                 except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                    refused = isinstance(error, aiohttp.ClientConnectorError)
-                    may_have_run = may_have_run or not refused
+                    not_connected = isinstance(error, aiohttp.ClientConnectorError)
+                    may_have_run = may_have_run or not not_connected
                     problem = f"{server}: {error}"
                     continue
-                if status not in RETRIED_STATUS:
-                    self._prefer(server)
-                    return _result(status, answer)
-                may_have_run = may_have_run or answer.get("error") == "outcome-unknown"
-                problem = f"{server}: {answer.get('detail', status)}"
+                if status not in RETRIED_STATUSES:
+                    self._move_to_front(server)
+                    return _result_or_raise(status, response_body)
+                may_have_run = (
+                    may_have_run or response_body.get("error") == "outcome-unknown"
+                )
+                problem = f"{server}: {response_body.get('detail', status)}"
             if self.timer.now_s() >= deadline_s or not self._servers:
                 break
-            await self.timer.sleep(RETRY_S)
+            await self.timer.sleep(RETRY_DELAY_S)
         if body is not None and may_have_run:
             raise errors.OutcomeUnknownError(problem)
         raise errors.UnavailableError(problem)
 
-    def _prefer(self, server: str) -> None:
+    def _move_to_front(self, server: str) -> None:
         self._servers.remove(server)
         self._servers.insert(0, server)
 
-    async def _call_one(
+    async def _call_server(
         self,
         method: str,
         server: str,
@@ -138,32 +145,32 @@
             return response.status, await response.json()
 
 
-def _result(status: int, answer: Message) -> Message:
+def _result_or_raise(status: int, response_body: Message) -> Message:
     if status == 200:
-        return answer
-    if answer.get("outcome") == "conflict":
-        raise errors.ConflictError(_conflict_text(answer))
-    if answer.get("outcome") == "refused":
+        return response_body
+    if response_body.get("outcome") == "conflict":
+        raise errors.ConflictError(_conflict_text(response_body))
+    if response_body.get("outcome") == "refused":
         findings = [
             Finding(f["file"] or "change", f["line"], f["text"])
-            for f in answer["findings"]
+            for f in response_body["findings"]
         ]
         raise errors.FindingsError(findings)
     if status == 409:
-        raise errors.ConflictError(answer.get("detail", "conflict"))
-    detail = answer.get("detail") or answer.get("text") or "no detail"
+        raise errors.ConflictError(response_body.get("detail", "conflict"))
+    detail = response_body.get("detail") or response_body.get("text") or "no detail"
     raise errors.EndivesillError(f"{detail} (status {status})")
 
 
-def _conflict_text(answer: Message) -> str:
-    first = answer["first"]
-    who = first.get("operator") or "another operator"
+def _conflict_text(response_body: Message) -> str:
+    first = response_body["first"]
+    operator = first.get("operator") or "another operator"
     digest = (first.get("digest") or "")[:12]
-    if answer["reason"] == "number":
-        text = f"the number was used first by {who} for another change"
+    if response_body["reason"] == "number":
+        text = f"the number was used first by {operator} for another change"
     else:
-        text = f"the folder was changed by {who} after the base revision"
+        text = f"the folder was changed by {operator} after the base revision"
     return (
         f"{text} (digest {digest}, at {first.get('wall_time_s') or 0:.0f} s since "
-        f"1970); the current revision is {answer['revision']}"
+        f"1970); the current revision is {response_body['revision']}"
     )
--- a/endivesill/operators/events.py
+++ b/endivesill/operators/events.py
@@ -5,11 +5,11 @@
 __all__ = ["CHANGE_ANSWERED", "OPERATOR_CALL_FAILED", "VOTERS_CHANGED"]
 
 CHANGE_ANSWERED = events.define(
-    5201, "change-answered", "An operator's change was answered."
+    5201, "change-answered", "A configuration change by an operator ended."
 )
 VOTERS_CHANGED = events.define(
-    5202, "voters-changed", "An operator's change of the voters was answered."
+    5202, "voters-changed", "A change of the voters by an operator ended."
 )
 OPERATOR_CALL_FAILED = events.define(
-    5203, "operator-call-failed", "An operator's call could not be carried out."
+    5203, "operator-call-failed", "A call to the operator port failed."
 )
--- a/endivesill/operators/progress.py
+++ b/endivesill/operators/progress.py
@@ -1,4 +1,4 @@
-"""Whether a revision is in force everywhere, and which VMs are not there yet."""
+"""Whether a configuration revision is in force on all VMs."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 CALL_TIMEOUT_S = 1.0
 
-COUNTED_STATES = (VmState.ALIVE, VmState.LEAVING, VmState.SUSPECT)
+LIVE_STATES = (VmState.ALIVE, VmState.LEAVING, VmState.SUSPECT)
 
 
 @attrs.frozen
 class Progress:
-    """How far a revision is.
+    """How far a revision has been rolled out.
 
     Attributes:
       revision: the revision.
-      in_force: whether no VM can start work under an older one.
-      waiting_for: the VMs that may still do so.
-      without_lease: the VMs that have not acknowledged it but can start no
-        work, as their lease has run out.
+      in_force: whether no VM can start work under an older revision.
+      waiting_for: the VMs that may still start work under an older revision.
+      without_lease: the VMs that have not acknowledged the revision but cannot
+        start work, because their lease has expired.
     """
 
     revision: int
@@ -40,11 +40,11 @@
 
 
 class ConfigurationProgress:
-    """Asks the control replicas what the VMs have acknowledged.
+    """Queries the control replicas for the revisions that VMs acknowledged.
 
     Args:
       transport: the peer transport.
-      membership: the fleet; its live VMs are waited for.
+      membership: the view of the fleet; only its live VMs are considered.
       control_addresses: returns the peer addresses of the control VMs.
     """
 
@@ -59,38 +59,41 @@
         self._control_addresses = control_addresses
 
     async def of(self, revision: int, accepted_for_s: float) -> Progress:
-        """Return how far a revision is.
+        """Return how far a revision has been rolled out.
+
+        After the lease duration and a margin, every VM that has not acknowledged the revision
+        has lost its lease, so the revision is in force.
 
         Args:
           revision: the revision.
-          accepted_for_s: for how long at least it has been committed.
+          accepted_for_s: a lower bound of the time since it was committed.
 
         Raises:
-          UnavailableError: no control replica answers.
+          UnavailableError: no control replica responds.
         """
-        live = [vm.name for vm in self._membership.vms() if vm.state in COUNTED_STATES]
-        waiting = await self._waiting(live, revision)
+        live = [vm.name for vm in self._membership.vms() if vm.state in LIVE_STATES]
+        waiting = await self._unacknowledged(live, revision)
         if accepted_for_s >= LEASE_S + IN_FORCE_MARGIN_S:
             return Progress(revision, True, (), waiting)
         return Progress(revision, not waiting, waiting, ())
 
-    async def _waiting(self, live: list[str], revision: int) -> tuple[str, ...]:
-        """Return the live VMs that no replica knows to be at a revision."""
+    async def _unacknowledged(self, live: list[str], revision: int) -> tuple[str, ...]:
+        """Return the live VMs that no replica has seen acknowledge a revision."""
         waiting = set(live)
-        answered = False
+        any_response = False
         for address in self._control_addresses():
             try:
-                answer = await call(
+                response = await call(
                     self._transport, address, ACKNOWLEDGED_PATH, {}, CALL_TIMEOUT_S
                 )
             except errors.PeerUnreachableError:
                 continue
-            answered = True
-            for vm, acknowledged in unpack_revisions(answer["acks"]).items():
+            any_response = True
+            for vm, acknowledged in unpack_revisions(response["acks"]).items():
                 if acknowledged >= revision:
                     waiting.discard(vm)
             if not waiting:
                 break
-        if not answered:
+        if not any_response:
             raise errors.UnavailableError("no control replica answers")
         return tuple(sorted(waiting))
--- a/endivesill/operators/service.py
+++ b/endivesill/operators/service.py
@@ -12,11 +12,11 @@
 
 
 class OperatorPort(Service):
-    """The listener for operators.
+    """The HTTP listener for operators.
 
     Args:
-      application: what answers.
-      options: further options of the listener, such as its TLS files.
+      application: handles the requests.
+      options: further options of `HttpServer`, such as its TLS files.
     """
 
     def __init__(self, application: OperatorApplication, **options: Any) -> None:
@@ -25,13 +25,17 @@
 
     @property
     def address(self) -> str:
-        """The address in use, once started."""
+        """HOST:PORT; the port in use once the service has started."""
         return self._server.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening.
+
+        Raises:
+          OSError: the address cannot be bound.
+        """
         await self._server.start()
 
     async def stop(self) -> None:
-        """Close the port once all answers have ended."""
+        """Close the port after all responses have been sent."""
         await self._server.stop()
--- a/endivesill/operators/voters.py
+++ b/endivesill/operators/voters.py
@@ -1,4 +1,4 @@
-"""What the operator port asks of the part that administers the voters."""
+"""The interface through which the operator port administers the voters."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class VoterAdministration(Protocol):
-    """Status and changes of the voters; the results are attrs objects."""
+    """Status and changes of the voters; results are attrs instances."""
 
     async def status(self) -> Any:
-        """Return the cluster as its leader sees it."""
+        """Return the cluster's status as reported by its leader."""
 
     async def add(self, address: str) -> Any:
         """Make the replica at an address a voter once it has caught up."""
@@ -20,4 +20,4 @@
         """Remove a voter or learner, given by identity or address."""
 
     async def replace(self, replica: str, address: str) -> Any:
-        """Put the replica at an address in the place of another one."""
+        """Replace a voter or learner by the replica at an address."""
--- a/endivesill/porcelain.py
+++ b/endivesill/porcelain.py
@@ -18,8 +18,8 @@
 from endivesill.configuration import Folder, read_folder
 from endivesill.configuration.changes import Change, digest_of_documents
 from endivesill.configuration.folder import read_base_revision, write_base_revision
-from endivesill.explain import Story
-from endivesill.explain import explain as story_of
+from endivesill.explain import RequestTrace
+from endivesill.explain import explain as trace_request
 from endivesill.findings import Finding
 from endivesill.load import LoadRunner, Summary, read_experiment, summarize
 from endivesill.operators.client import OperatorClient
@@ -329,7 +329,7 @@
     return check_files(settings, deploy)
 
 
-def explain(log_files: Iterable[pathlib.Path], request_id: str) -> Story:
+def explain(log_files: Iterable[pathlib.Path], request_id: str) -> RequestTrace:
     """Tell from log files what happened to a request.
 
     Raises:
@@ -337,12 +337,12 @@
     """
     try:
         lines = itertools.chain.from_iterable(_lines(path) for path in log_files)
-        story = story_of(lines, request_id)
+        trace = trace_request(lines, request_id)
     except OSError as error:
         raise errors.EndivesillError(str(error)) from None
-    if story is None:
+    if trace is None:
         raise errors.EndivesillError(f"no log line names request {request_id}")
-    return story
+    return trace
 
 
 def _lines(path: pathlib.Path) -> Iterator[str]:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of a request from log lines."""
+"""Tests of request traces assembled from log lines."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
     return json.dumps({**document, "task_uuid": "u", "task_level": [1]})
 
 
-FIRST = [
+FIRST_ENTRY_LINES = [
     line(10.0, "request-received", request_id="r", organisation="farriers"),
     line(
         10.1,
@@ -26,29 +26,29 @@
     line(12.0, "stream-broken", request_id="r", generation_id="g", error="gone"),
     line(12.1, "request-ended", request_id="r", status=200),
 ]
-SECOND = [
+SECOND_ENTRY_LINES = [
     line(13.0, "stream-reconnected", request_id="s", generation_id="g", target="e1")
 ]
 
 
 class ExplainTest(unittest.TestCase):
-    def test_a_request_is_told_from_the_lines_of_all_entries(self):
-        story = explain(SECOND + FIRST, "r")
-        self.assertEqual("farriers", story.organisation)
+    def test_a_trace_has_the_events_of_all_entries(self):
+        trace = explain(SECOND_ENTRY_LINES + FIRST_ENTRY_LINES, "r")
+        self.assertEqual("farriers", trace.organisation)
         self.assertEqual(
-            (("e1",), "stream-broken: gone"), (story.targets, story.ending)
+            (("e1",), "stream-broken: gone"), (trace.targets, trace.ending)
         )
-        self.assertEqual("stream-reconnected", story.steps[-1].name)
-        self.assertEqual(6, len(story.steps))
+        self.assertEqual("stream-reconnected", trace.steps[-1].name)
+        self.assertEqual(6, len(trace.steps))
 
-    def test_the_text_names_what_was_passed_over_and_why(self):
-        text = format_text(explain(FIRST, "r"))
-        self.assertIn("chosen       e1\n  passed over 2: cold\n", text)
+    def test_the_text_counts_rejected_targets_by_reason(self):
+        text = format_text(explain(FIRST_ENTRY_LINES, "r"))
+        self.assertIn("chosen       e1\n  rejected 2: cold\n", text)
         self.assertIn("+2.000 s  stream-broken        generation_id=g error=gone", text)
 
-    def test_the_json_form_can_be_written(self):
-        document = json.loads(json.dumps(format_json(explain(FIRST, "r"))))
+    def test_the_json_form_can_be_serialised(self):
+        document = json.loads(json.dumps(format_json(explain(FIRST_ENTRY_LINES, "r"))))
         self.assertEqual("r", document["request_id"])
 
-    def test_an_unknown_request_has_no_story(self):
-        self.assertIsNone(explain(FIRST, "nobody"))
+    def test_an_unknown_request_has_no_trace(self):
+        self.assertIsNone(explain(FIRST_ENTRY_LINES, "nobody"))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -138,8 +138,8 @@
 
     lost = 1
 
-    async def _call_one(self, *arguments):
-        answer = await super()._call_one(*arguments)
+    async def _call_server(self, *arguments):
+        answer = await super()._call_server(*arguments)
         if self.lost:
             self.lost -= 1
             raise TimeoutError
