--- a/endivesill/events.py
+++ b/endivesill/events.py
@@ -1,7 +1,7 @@
 """Numbered log events.
 
-Each package defines its events with `define` in its own module and its own
-range of numbers; docs/EVENTS.md lists them all and is checked by a test.
+Each package defines its events with `define`, in its own range of numbers.
+docs/EVENTS.md lists all events and is checked by a test.
 
 Ranges: 1000 process, 2000 entry, 3000 routing, 4000 targets, 5000
 configuration, 6000 control, 7000 membership, 8000 orders and placement.
@@ -34,7 +34,7 @@
     Attributes:
       number: the event's number, unique in the catalogue.
       name: its short name.
-      text: what it says, for the catalogue.
+      text: its description in the catalogue.
     """
 
     number: int
@@ -48,7 +48,7 @@
 
 
 def _eliot_sink(kind: EventKind, fields: dict[str, Any]) -> None:
-    # Deferred: processes with a sink of their own need not load eliot.
+    # Imported on first use: processes with their own sink do not load eliot.
     import eliot
 
     eliot.log_message(message_type=kind.name, event=kind.number, **fields)
@@ -62,7 +62,7 @@
     """Add a kind of event to the catalogue.
 
     Raises:
-      EndivesillError: the number is taken.
+      EndivesillError: the number is already in use.
     """
     if number in CATALOGUE:
         raise errors.EndivesillError(f"event {number} is defined twice")
@@ -72,20 +72,20 @@
 
 
 def emit(kind: EventKind, **fields: Any) -> None:
-    """Write one event to the log."""
+    """Pass one event to the sink and to all listeners."""
     _sink(kind, fields)
     for listener in _listeners:
         listener(kind, fields)
 
 
 def set_sink(sink: Sink) -> None:
-    """Send all events to another sink than eliot."""
+    """Replace the sink of all events, by default eliot."""
     global _sink
     _sink = sink
 
 
 def listen(listener: Callable[[EventKind, dict[str, Any]], None]) -> Callable[[], None]:
-    """Call a listener for each event; return what removes it again."""
+    """Call a listener for each event; return a function that removes it."""
     _listeners.append(listener)
     return lambda: _listeners.remove(listener)
 
--- a/endivesill/findings.py
+++ b/endivesill/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong with files that a person wrote, with their places."""
+"""Findings: validation errors in settings and configuration files."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen(order=True)
 class Finding:
-    """One thing that is wrong.
+    """One validation error.
 
     Attributes:
-      file: the file's name as the person gave it.
-      line: the line, from 1; 0 where there is none.
-      text: what is wrong, in one line.
+      file: the file name as the user gave it.
+      line: the line number, from 1; 0 if the finding concerns the whole file.
+      text: a description of the error, in one line.
     """
 
     file: str
--- a/endivesill/histogram.py
+++ b/endivesill/histogram.py
@@ -1,7 +1,7 @@
-"""A histogram of fixed buckets, as Prometheus text.
+"""A histogram with fixed buckets, in the Prometheus text format.
 
-hdrhistogram is not installed on the platform's machines; fixed buckets also add up
-over processes.
+hdrhistogram is not installed on the platform's machines. Fixed buckets can also be
+summed over processes.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Histogram:
-    """Durations by bucket.
+    """Counts of durations by bucket.
 
     Args:
-      bounds_s: the upper bounds of the buckets, ascending; one more bucket takes
-        what is longer.
+      bounds_s: the upper bounds of the buckets, ascending; an additional bucket
+        counts longer durations.
     """
 
     def __init__(self, bounds_s: tuple[float, ...]) -> None:
@@ -25,24 +25,24 @@
         self._sum_s = 0.0
 
     def record_s(self, duration_s: float) -> None:
-        """Count one duration."""
+        """Record one duration."""
         self._counts[bisect.bisect_left(self._bounds_s, duration_s)] += 1
         self._sum_s += duration_s
 
     def lines(self, name: str, labels: str = "") -> list[str]:
-        """Return the lines of a metric.
+        """Return the metric as Prometheus text lines, with cumulative buckets.
 
         Args:
-          name: its name.
+          name: the name of the metric.
           labels: `name="value"` pairs, joined by commas.
         """
         lines = []
         total = 0
-        more = f"{labels}," if labels else ""
+        label_prefix = f"{labels}," if labels else ""
         for bound, count in zip((*self._bounds_s, "+Inf"), self._counts, strict=True):
             total += count
-            lines.append(f'{name}_bucket{{{more}le="{bound}"}} {total}')
-        braces = f"{{{labels}}}" if labels else ""
-        lines.append(f"{name}_count{braces} {total}")
-        lines.append(f"{name}_sum{braces} {self._sum_s:.4f}")
+            lines.append(f'{name}_bucket{{{label_prefix}le="{bound}"}} {total}')
+        label_set = f"{{{labels}}}" if labels else ""
+        lines.append(f"{name}_count{label_set} {total}")
+        lines.append(f"{name}_sum{label_set} {self._sum_s:.4f}")
         return lines
--- a/endivesill/kernel.py
+++ b/endivesill/kernel.py
@@ -1,8 +1,8 @@
-"""The micro-kernel: services that find each other by name.
+"""The micro-kernel: a registry of services with an ordered life cycle.
 
-A process is a kernel with services. They start in the order in which they were
-added and stop in the reverse order. Background tasks are supervised: one that
-fails is logged and started again after a backoff.
+Each process has one kernel. Its services look each other up by name; they start in
+the order in which they were added and stop in reverse order. Background tasks are
+supervised: a failure is logged and the task restarts after a backoff.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 __all__ = ["Kernel", "Service"]
 
-RESTART_BACKOFF_S = 0.5
-RESTART_BACKOFF_LIMIT_S = 10.0
+INITIAL_RESTART_BACKOFF_S = 0.5
+MAX_RESTART_BACKOFF_S = 10.0
 
 _log = logging.getLogger(__name__)
 
@@ -26,13 +26,13 @@
 
 
 class Service:
-    """Base of the services that a kernel holds."""
+    """Base class of the services in a kernel."""
 
     async def start(self) -> None:
-        """Begin to work; services added earlier are running already."""
+        """Start; services that were added earlier have already started."""
 
     async def stop(self) -> None:
-        """Finish and release everything."""
+        """Stop and release all resources; services added later have stopped."""
 
 
 class Kernel:
@@ -49,24 +49,30 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: str, service: Service) -> None:
-        """Register a service under a name that is not taken yet."""
+        """Register a service.
+
+        Raises:
+          EndivesillError: the name is already registered.
+        """
         if name in self._services:
-            raise errors.EndivesillError(f"service {name!r} is registered twice")
+            raise errors.EndivesillError(f"service {name!r} is already registered")
         self._services[name] = service
 
     def find(self, name: str, kind: type[ServiceT]) -> ServiceT:
-        """Return the service of that name.
+        """Return the service with a name.
 
         Raises:
-          EndivesillError: there is none, or it is of another class.
+          EndivesillError: there is none, or it is not an instance of `kind`.
         """
         service = self._services.get(name)
         if not isinstance(service, kind):
-            raise errors.EndivesillError(f"no service {name!r} of {kind.__name__}")
+            raise errors.EndivesillError(
+                f"no service {name!r} of class {kind.__name__}"
+            )
         return service
 
     def has(self, name: str) -> bool:
-        """Tell whether a service of that name is registered."""
+        """Return whether a service with this name is registered."""
         return name in self._services
 
     async def start(self) -> None:
@@ -76,7 +82,10 @@
             self._running.append(name)
 
     async def stop(self) -> None:
-        """Stop the running services in reverse order, then the tasks."""
+        """Stop the services in reverse order, then cancel the background tasks.
+
+        A service that fails to stop is logged; the others still stop.
+        """
         while self._running:
             name = self._running.pop()
             try:
@@ -91,14 +100,17 @@
     def supervise(
         self, name: str, run: Callable[[], Awaitable[None]]
     ) -> asyncio.Task[None]:
-        """Run a background task and start it again when it fails."""
+        """Run a background task; restart it with exponential backoff on failure.
+
+        The backoff is reset once the task has run longer than the maximum backoff.
+        """
         task = asyncio.ensure_future(self._supervise(name, run))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def _supervise(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
-        backoff_s = RESTART_BACKOFF_S
+        backoff_s = INITIAL_RESTART_BACKOFF_S
         while True:
             started_s = self.timer.now_s()
             try:
@@ -107,7 +119,7 @@
             except Exception as error:
                 events.emit(events.TASK_FAILED, task=name, error=repr(error))
                 _log.exception("task %s failed", name)
-            if self.timer.now_s() - started_s > RESTART_BACKOFF_LIMIT_S:
-                backoff_s = RESTART_BACKOFF_S
+            if self.timer.now_s() - started_s > MAX_RESTART_BACKOFF_S:
+                backoff_s = INITIAL_RESTART_BACKOFF_S
             await self.timer.sleep(backoff_s)
-            backoff_s = min(2 * backoff_s, RESTART_BACKOFF_LIMIT_S)
+            backoff_s = min(2 * backoff_s, MAX_RESTART_BACKOFF_S)
--- a/endivesill/load/__init__.py
+++ b/endivesill/load/__init__.py
@@ -1,4 +1,4 @@
-"""The load and experiment tool for a running system."""
+"""The load generator: sends the requests of an experiment to a running system."""
 
 from endivesill.load.plan import Experiment, parse_experiment, read_experiment
 from endivesill.load.record import (
--- a/endivesill/load/plan.py
+++ b/endivesill/load/plan.py
@@ -1,4 +1,4 @@
-"""Experiments of the load tool, read from an INI file."""
+"""Experiments of the load generator, read from an INI file."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from endivesill.ini import IniSection, parse_ini, read_text
 
 __all__ = [
-    "ARRIVALS",
-    "LENGTHS",
+    "ARRIVAL_PROCESSES",
+    "LENGTH_DISTRIBUTIONS",
     "Experiment",
     "LoadOrganisation",
     "LoadSettings",
@@ -25,8 +25,8 @@
 
 FunctionT = TypeVar("FunctionT", bound=Callable[..., float])
 
-ARRIVALS: dict[str, Callable[[random.Random, float], float]] = {}
-LENGTHS: dict[str, Callable[[random.Random, float], float]] = {}
+ARRIVAL_PROCESSES: dict[str, Callable[[random.Random, float], float]] = {}
+LENGTH_DISTRIBUTIONS: dict[str, Callable[[random.Random, float], float]] = {}
 
 LOGNORMAL_SIGMA = 1.0
 PARETO_ALPHA = 1.5
@@ -43,50 +43,53 @@
     return register
 
 
-@_registered(ARRIVALS, "poisson")
-def poisson_gap_s(source: random.Random, rate_per_s: float) -> float:
+@_registered(ARRIVAL_PROCESSES, "poisson")
+def poisson_gap_s(rng: random.Random, rate_per_s: float) -> float:
     """Return the time to the next arrival of a Poisson process."""
-    return source.expovariate(rate_per_s)
+    return rng.expovariate(rate_per_s)
 
 
-@_registered(ARRIVALS, "uniform")
-def uniform_gap_s(source: random.Random, rate_per_s: float) -> float:
-    """Return the time to the next of evenly spaced arrivals."""
+@_registered(ARRIVAL_PROCESSES, "uniform")
+def uniform_gap_s(rng: random.Random, rate_per_s: float) -> float:
+    """Return the constant time between evenly spaced arrivals."""
     return 1.0 / rate_per_s
 
 
-@_registered(ARRIVALS, "burst")
-def burst_gap_s(source: random.Random, rate_per_s: float) -> float:
-    """Return the time to the next arrival when they come in bursts."""
-    if source.random() < 1.0 / BURST_SIZE:
-        return source.expovariate(rate_per_s / BURST_SIZE)
+@_registered(ARRIVAL_PROCESSES, "burst")
+def burst_gap_s(rng: random.Random, rate_per_s: float) -> float:
+    """Return the time to the next arrival of a process with bursts.
+
+    Bursts have a geometric size with mean `BURST_SIZE`; the mean rate is kept.
+    """
+    if rng.random() < 1.0 / BURST_SIZE:
+        return rng.expovariate(rate_per_s / BURST_SIZE)
     return 0.0
 
 
-@_registered(LENGTHS, "fixed")
-def fixed_length(source: random.Random, mean: float) -> float:
-    """Return the mean itself."""
+@_registered(LENGTH_DISTRIBUTIONS, "fixed")
+def fixed_length(rng: random.Random, mean: float) -> float:
+    """Return a constant length."""
     return mean
 
 
-@_registered(LENGTHS, "exponential")
-def exponential_length(source: random.Random, mean: float) -> float:
+@_registered(LENGTH_DISTRIBUTIONS, "exponential")
+def exponential_length(rng: random.Random, mean: float) -> float:
     """Return an exponentially distributed length."""
-    return source.expovariate(1.0 / mean)
+    return rng.expovariate(1.0 / mean)
 
 
-@_registered(LENGTHS, "lognormal")
-def lognormal_length(source: random.Random, mean: float) -> float:
-    """Return a log-normal length of that mean."""
-    factor = source.lognormvariate(-(LOGNORMAL_SIGMA**2) / 2, LOGNORMAL_SIGMA)
+@_registered(LENGTH_DISTRIBUTIONS, "lognormal")
+def lognormal_length(rng: random.Random, mean: float) -> float:
+    """Return a log-normally distributed length with the given mean."""
+    factor = rng.lognormvariate(-(LOGNORMAL_SIGMA**2) / 2, LOGNORMAL_SIGMA)
     return mean * factor
 
 
-@_registered(LENGTHS, "pareto")
-def pareto_length(source: random.Random, mean: float) -> float:
-    """Return a heavy-tailed length of that mean."""
-    least = mean * (PARETO_ALPHA - 1) / PARETO_ALPHA
-    return least * source.paretovariate(PARETO_ALPHA)
+@_registered(LENGTH_DISTRIBUTIONS, "pareto")
+def pareto_length(rng: random.Random, mean: float) -> float:
+    """Return a Pareto-distributed (heavy-tailed) length with the given mean."""
+    scale = mean * (PARETO_ALPHA - 1) / PARETO_ALPHA
+    return scale * rng.paretovariate(PARETO_ALPHA)
 
 
 @attrs.frozen
@@ -98,18 +101,18 @@
         "how long requests are sent", default=30.0, minimum=0.1, maximum=3600
     )
     drain_s: float = schema.field(
-        "longest wait for the last answers", default=60.0, minimum=0, maximum=3600
+        "longest wait for the last responses", default=60.0, minimum=0, maximum=3600
     )
     rate_per_s: float = schema.field(
         "requests a second over all streams", minimum=0.01, maximum=100_000
     )
     arrivals: str = schema.field(
-        "arrival process", default="poisson", choices=tuple(ARRIVALS)
+        "arrival process", default="poisson", choices=tuple(ARRIVAL_PROCESSES)
     )
     seed: int = schema.field("seed of all random choices", default=1, minimum=0)
     health_period_s: float = schema.field(
-        "time between looks at which entries are ready, as a balancer does; "
-        "0 sends to all",
+        "time between readiness checks of the entries, as a load balancer does "
+        "them; 0 sends to all",
         default=0.0,
         minimum=0,
         maximum=60,
@@ -120,7 +123,7 @@
         minimum=1,
     )
     maximum_running: int = schema.field(
-        "requests at once; arrivals beyond it are counted as not sent",
+        "limit of concurrent requests; arrivals beyond it are counted as not sent",
         default=2000,
         minimum=1,
         maximum=20_000,
@@ -129,7 +132,7 @@
 
 @attrs.frozen
 class LoadOrganisation:
-    """An `[organisation NAME]` section: who asks."""
+    """An `[organisation NAME]` section: an organisation that sends requests."""
 
     name: str
     key: str = schema.field("the organisation's key")
@@ -158,16 +161,18 @@
         "mean length of the outputs", default=200.0, minimum=1
     )
     length: str = schema.field(
-        "distribution of the lengths", default="lognormal", choices=tuple(LENGTHS)
+        "distribution of the lengths",
+        default="lognormal",
+        choices=tuple(LENGTH_DISTRIBUTIONS),
     )
     maximum_output_tokens: int = schema.field(
-        "longest output that is asked for", default=20_000, minimum=1
+        "longest output that is requested", default=20_000, minimum=1
     )
 
 
 @attrs.frozen
 class Experiment:
-    """A whole experiment."""
+    """All sections of one experiment file."""
 
     settings: LoadSettings
     organisations: tuple[LoadOrganisation, ...]
@@ -196,8 +201,8 @@
     for section in sections:
         kind, _, name = section.name.partition(" ")
         if kind == "load":
-            settings, found = schema.read_section(section, LoadSettings)
-            findings.extend(found)
+            settings, section_findings = schema.read_section(section, LoadSettings)
+            findings.extend(section_findings)
         elif kind == "organisation":
             _collect(section, LoadOrganisation, name, organisations, findings)
         elif kind == "stream":
@@ -206,7 +211,7 @@
             text = f"unknown section [{section.name}]"
             findings.append(Finding(file, section.line, text))
     if not findings and not (settings and organisations and streams):
-        text = "needs [load], [organisation NAME] and [stream NAME]"
+        text = "[load], [organisation NAME] and [stream NAME] sections are required"
         findings.append(Finding(file, 0, text))
     if findings or settings is None:
         raise errors.FindingsError(sorted(findings))
@@ -217,10 +222,10 @@
     section: IniSection,
     kind: type,
     name: str,
-    into: list,
+    instances: list,
     findings: list[Finding],
 ) -> None:
-    value, found = schema.read_section(section, kind, {"name": name.strip()})
-    findings.extend(found)
+    value, section_findings = schema.read_section(section, kind, {"name": name.strip()})
+    findings.extend(section_findings)
     if value is not None:
-        into.append(value)
+        instances.append(value)
--- a/endivesill/load/record.py
+++ b/endivesill/load/record.py
@@ -1,4 +1,4 @@
-"""What the load tool keeps of each request, and its summary."""
+"""The record of each request of the load generator, and their summary."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 __all__ = ["RequestRecord", "Summary", "format_summary", "summarize"]
 
-HIGHEST_US = 3_600_000_000
+MAX_DURATION_US = 3_600_000_000
 SIGNIFICANT_FIGURES = 3
 
 
@@ -18,24 +18,25 @@
     """One request from its scheduled time to its end.
 
     Attributes:
-      number: its place in the experiment.
+      number: its position in the arrival sequence, from 0.
       stream: the name of its `[stream]` section.
-      organisation: who asked.
+      organisation: the name of its `[organisation]` section.
       key: the idempotency key, or an empty string.
-      scheduled_s: when the arrival process wanted it sent.
-      first_s: when its first byte of content came; None if none came.
+      scheduled_s: the send time that the arrival process scheduled.
+      first_s: when its first byte of content arrived; None if none did.
       end_s: when it ended.
-      status: the HTTP status; 0 without an answer.
-      run: the `run` member of a problem answer.
-      reason: the title of a problem answer, or what broke.
+      status: the HTTP status; 0 without a response, 599 after an error event in
+        the stream.
+      run: the `run` member of a problem document.
+      reason: the title of a problem document, or the error that ended it.
       generation: the generation's id.
-      tokens: tokens that arrived.
-      disorder: tokens that were doubled, lost or out of order.
-      resumes: how often the caller reconnected.
-      complete: whether the whole answer came.
-      breaks: address and time of each connection that broke with an answer
-        pending.
-      gaps_s: times between blocks of tokens.
+      tokens: number of tokens received.
+      disorder: number of tokens that were duplicated, lost or out of order.
+      resumes: number of reconnections.
+      complete: whether the whole response was received.
+      breaks: address and time of each connection that broke before its response
+        was complete.
+      gaps_s: times between received blocks of tokens.
     """
 
     number: int
@@ -62,14 +63,14 @@
     """An experiment's result.
 
     Attributes:
-      sent: requests that were sent.
-      complete: requests that got their whole answer.
-      refused: refusals by reason and run state.
-      broken: requests that neither completed nor were refused, by reason.
-      tokens: tokens that arrived.
-      disorder: tokens that were doubled, lost or out of order.
-      resumes: reconnections of callers.
-      goodput_tokens_per_s: tokens of complete answers a second.
+      sent: number of requests sent.
+      complete: number of requests with a complete response.
+      refused: number of refused requests by reason and run state.
+      broken: number of requests that neither completed nor were refused, by reason.
+      tokens: number of tokens received.
+      disorder: number of tokens that were duplicated, lost or out of order.
+      resumes: number of reconnections.
+      goodput_tokens_per_s: tokens of complete responses per second.
       stall_s: time beyond the stall threshold, summed over all gaps.
       first_ms: quantiles of the time from the scheduled send to the first byte.
       gap_ms: quantiles of the time between tokens.
@@ -93,12 +94,12 @@
 def summarize(
     records: list[RequestRecord], duration_s: float, stall_threshold_s: float
 ) -> Summary:
-    """Sum up an experiment.
+    """Summarise an experiment.
 
     Args:
       records: one for each request sent.
-      duration_s: the time that the goodput is taken over.
-      stall_threshold_s: gaps count as stall beyond this.
+      duration_s: the period over which the goodput is averaged.
+      stall_threshold_s: the part of a gap beyond this is stall time.
     """
     first, gaps, total = _histogram(), _histogram(), _histogram()
     refused: collections.Counter[str] = collections.Counter()
@@ -116,16 +117,16 @@
             refused[f"{record.reason} ({record.run})"] += 1
         else:
             broken[record.reason] += 1
-    whole = [record for record in records if record.complete]
+    completed = [record for record in records if record.complete]
     return Summary(
         sent=len(records),
-        complete=len(whole),
+        complete=len(completed),
         refused=dict(refused),
         broken=dict(broken),
         tokens=sum(record.tokens for record in records),
         disorder=sum(record.disorder for record in records),
         resumes=sum(record.resumes for record in records),
-        goodput_tokens_per_s=sum(r.tokens for r in whole) / duration_s,
+        goodput_tokens_per_s=sum(r.tokens for r in completed) / duration_s,
         stall_s=stall_s,
         first_ms=_quantiles_ms(first),
         gap_ms=_quantiles_ms(gaps),
@@ -134,19 +135,19 @@
 
 
 def format_summary(summary: Summary) -> str:
-    """Return the summary as a table for people."""
+    """Return the summary as human-readable text."""
     lines = [
         f"sent {summary.sent}, complete {summary.complete}, "
         f"{summary.tokens} tokens, {summary.goodput_tokens_per_s:.0f} tokens/s",
         f"disorder {summary.disorder}, reconnections {summary.resumes}, "
         f"stall time {summary.stall_s:.3f} s",
     ]
-    lines += [f"refused: {n} x {why}" for why, n in sorted(summary.refused.items())]
-    lines += [f"broken: {n} x {why}" for why, n in sorted(summary.broken.items())]
+    lines += [f"refused: {n} x {cause}" for cause, n in sorted(summary.refused.items())]
+    lines += [f"broken: {n} x {cause}" for cause, n in sorted(summary.broken.items())]
     for name, values in (
         ("first token", summary.first_ms),
         ("gap", summary.gap_ms),
-        ("whole answer", summary.total_ms),
+        ("complete response", summary.total_ms),
     ):
         shown = ", ".join(f"{q} {value:.1f} ms" for q, value in values.items())
         lines.append(f"{name}: {shown}")
@@ -154,7 +155,7 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, HIGHEST_US, SIGNIFICANT_FIGURES)
+    return HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_FIGURES)
 
 
 def _record(histogram: HdrHistogram, duration_s: float) -> None:
--- a/endivesill/metrics.py
+++ b/endivesill/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and hdrhistogram recorders, served as Prometheus text."""
+"""Counters, gauges and hdrhistogram recorders, exported as Prometheus text."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 __all__ = ["Counter", "Metrics", "Recorder"]
 
 QUANTILES = (0.5, 0.95, 0.99, 0.999)
-HIGHEST_US = 3_600_000_000
+MAX_DURATION_US = 3_600_000_000
 SIGNIFICANT_FIGURES = 2
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Counter:
-    """A number that only grows."""
+    """A counter that only increases."""
 
     def __init__(self) -> None:
         self.value = 0.0
 
     def add(self, amount: float = 1.0) -> None:
-        """Add to the counter."""
+        """Increase the counter; the amount must not be negative."""
         self.value += amount
 
 
 class Recorder:
-    """A histogram of durations, kept in microseconds."""
+    """A histogram of durations with a resolution of 1 microsecond."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, HIGHEST_US, SIGNIFICANT_FIGURES)
+        self.histogram = HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_FIGURES)
         self.sum_s = 0.0
 
     def record_s(self, duration_s: float) -> None:
@@ -39,12 +39,12 @@
         self.histogram.record_value(max(1, int(duration_s * 1_000_000)))
 
     def quantile_s(self, quantile: float) -> float:
-        """Return the duration that this share of the recorded ones stays under."""
+        """Return a quantile (0 to 1) of the recorded durations, in seconds."""
         return self.histogram.get_value_at_percentile(100 * quantile) / 1_000_000
 
     @property
     def count(self) -> int:
-        """How many durations were recorded."""
+        """The number of recorded durations."""
         return self.histogram.get_total_count()
 
 
@@ -57,25 +57,25 @@
         self._gauges: dict[tuple[str, Labels], Callable[[], float]] = {}
 
     def counter(self, name: str, **labels: str) -> Counter:
-        """Return the counter of that name and labels, made when first asked for."""
+        """Return the counter with a name and labels; create it on first use."""
         key = (name, tuple(sorted(labels.items())))
         if key not in self._counters:
             self._counters[key] = Counter()
         return self._counters[key]
 
     def recorder(self, name: str, **labels: str) -> Recorder:
-        """Return the recorder of that name and labels, made when first asked for."""
+        """Return the recorder with a name and labels; create it on first use."""
         key = (name, tuple(sorted(labels.items())))
         if key not in self._recorders:
             self._recorders[key] = Recorder()
         return self._recorders[key]
 
     def gauge(self, name: str, read: Callable[[], float], **labels: str) -> None:
-        """Register what reads a current value."""
+        """Register a function that reads the current value of a gauge."""
         self._gauges[name, tuple(sorted(labels.items()))] = read
 
     def text(self) -> str:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for (name, labels), counter in sorted(self._counters.items()):
             lines.append(_line(f"endivesill_{name}_total", labels, counter.value))
--- a/endivesill/operators/progress.py
+++ b/endivesill/operators/progress.py
@@ -61,8 +61,8 @@
     async def of(self, revision: int, accepted_for_s: float) -> Progress:
         """Return how far a revision has been rolled out.
 
-        After the lease duration and a margin, every VM that has not acknowledged the revision
-        has lost its lease, so the revision is in force.
+        After the lease duration and a margin, every VM that has not acknowledged the
+        revision has lost its lease, so the revision is in force.
 
         Args:
           revision: the revision.
--- a/endivesill/signals.py
+++ b/endivesill/signals.py
@@ -1,4 +1,4 @@
-"""A signal that tasks wait for."""
+"""A notification that asyncio tasks wait for."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class Signal:
-    """Wakes all tasks that wait at the moment."""
+    """Wakes all currently waiting tasks.
+
+    It keeps no state: a task that waits after `notify` waits for the next one.
+    """
 
     def __init__(self) -> None:
         self._waiters: set[asyncio.Future[None]] = set()
@@ -23,7 +26,7 @@
             self._waiters.discard(future)
 
     def notify(self) -> None:
-        """Wake those who wait."""
+        """Wake all tasks that are currently in `wait`."""
         for future in self._waiters:
             if not future.done():
                 future.set_result(None)
--- a/endivesill/supervision.py
+++ b/endivesill/supervision.py
@@ -1,4 +1,4 @@
-"""Background tasks that go on after a failure."""
+"""Background tasks that restart after a failure, without a kernel."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 
 __all__ = ["supervise"]
 
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 
 
 def supervise(
     timer: TimerService,
     name: str,
     run: Callable[[], Awaitable[None]],
-    pause_s: float = RESTART_PAUSE_S,
+    restart_delay_s: float = RESTART_DELAY_S,
 ) -> asyncio.Task[None]:
-    """Run a coroutine function until it returns; failures are logged.
+    """Start a task that runs a coroutine function until it returns.
+
+    Each failure is logged, and the function runs again after a fixed delay.
 
     Args:
       timer: the timer service.
-      name: names the task in the log.
-      run: what is run, again after each failure.
-      pause_s: the time between a failure and the next run.
+      name: the name of the task in the log.
+      run: the coroutine function.
+      restart_delay_s: the delay between a failure and the next run.
     """
 
     async def loop() -> None:
@@ -35,6 +37,6 @@
                 return
             except Exception as error:
                 events.emit(events.TASK_FAILED, task=name, error=repr(error))
-            await timer.sleep(pause_s)
+            await timer.sleep(restart_delay_s)
 
     return asyncio.ensure_future(loop())
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -7,7 +7,7 @@
 from endivesill.timer import ManualTimer
 
 
-class Recorder(Service):
+class RecordingService(Service):
     def __init__(self, name, calls):
         self.name = name
         self.calls = calls
@@ -24,7 +24,7 @@
         calls = []
         kernel = Kernel(ManualTimer())
         for name in "abc":
-            kernel.add(name, Recorder(name, calls))
+            kernel.add(name, RecordingService(name, calls))
         await kernel.start()
         await kernel.stop()
         self.assertEqual(
@@ -33,15 +33,15 @@
 
     async def test_a_service_is_found_by_name_and_class(self):
         kernel = Kernel(ManualTimer())
-        service = Recorder("a", [])
+        service = RecordingService("a", [])
         kernel.add("a", service)
-        self.assertIs(service, kernel.find("a", Recorder))
+        self.assertIs(service, kernel.find("a", RecordingService))
         with self.assertRaises(errors.EndivesillError):
-            kernel.find("b", Recorder)
+            kernel.find("b", RecordingService)
         with self.assertRaises(errors.EndivesillError):
             kernel.add("a", service)
 
-    async def test_a_failed_task_starts_again_after_a_backoff(self):
+    async def test_a_failed_task_restarts_after_a_backoff(self):
         timer = ManualTimer()
         kernel = Kernel(timer)
         starts = []
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool."""
+"""Tests of the load generator."""
 
 import unittest
 
@@ -28,10 +28,12 @@
         text = "[load]\nrate_per_s = fast\n[stream s]\nlength = odd\n[what]\n"
         with self.assertRaises(errors.FindingsError) as caught:
             parse_experiment(text, "x.ini")
-        places = [(finding.line, finding.text) for finding in caught.exception.findings]
-        self.assertEqual([1, 2, 4, 5], [line for line, _ in places])
+        locations = [
+            (finding.line, finding.text) for finding in caught.exception.findings
+        ]
+        self.assertEqual([1, 2, 4, 5], [line for line, _ in locations])
 
-    def test_the_seed_fixes_the_arrivals(self):
+    def test_the_same_seed_gives_the_same_arrivals(self):
         experiment = parse_experiment(EXPERIMENT, "x.ini")
         first = LoadRunner(experiment, ManualTimer()).arrivals()
         second = LoadRunner(experiment, ManualTimer()).arrivals()
@@ -42,7 +44,7 @@
 
 
 class SummaryTest(unittest.TestCase):
-    def test_waiting_counts_from_the_scheduled_time(self):
+    def test_latency_counts_from_the_scheduled_time(self):
         record = RequestRecord(0, "s", "o", scheduled_s=1.0, first_s=3.0, end_s=5.0)
         record.complete = True
         record.tokens = 10
@@ -52,15 +54,15 @@
         self.assertAlmostEqual(0.5, summary.stall_s)
         self.assertEqual(1.0, summary.goodput_tokens_per_s)
 
-    def test_refusals_are_counted_apart_from_broken_streams(self):
+    def test_refused_requests_are_not_counted_as_broken(self):
         refused = RequestRecord(0, "s", "o", status=503, reason="full", run="not-run")
         broken = RequestRecord(1, "s", "o", status=200, reason="ClientPayloadError")
         summary = summarize([refused, broken], 1.0, 1.0)
         self.assertEqual({"full (not-run)": 1}, summary.refused)
         self.assertEqual({"ClientPayloadError": 1}, summary.broken)
 
-    def test_a_doubled_token_is_disorder(self):
+    def test_a_duplicated_token_counts_as_disorder(self):
         record = RequestRecord(0, "s", "o")
         for event in (b"id: g:0\ndata: {}", b"id: g:0\ndata: {}"):
-            LoadRunner._take_event(event, record)
+            LoadRunner._record_event(event, record)
         self.assertEqual(1, record.disorder)
