--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -142,8 +142,8 @@
     )
     source = NamedConfigurationSource(kernel)
     kernel.add("peer-port", PeerPort(timer, transport, **server_options(tls)))
-    datagrams = UdpDatagramTransport(vm.peer_address, keys.texts())
-    keys.subscribe(lambda: datagrams.replace_keys(keys.texts()))
+    datagrams = UdpDatagramTransport(vm.peer_address, keys.valid_keys())
+    keys.subscribe(lambda: datagrams.replace_keys(keys.valid_keys()))
     membership = SwimMembership(
         kernel,
         vm,
--- a/endivesill/http_peers.py
+++ b/endivesill/http_peers.py
@@ -1,4 +1,4 @@
-"""Peers over HTTP with JSON and a bearer key, on aiohttp and starlette."""
+"""A peer transport over HTTP with JSON and a bearer key (aiohttp, starlette)."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 __all__ = ["HttpPeerTransport"]
 
 CONNECT_TIMEOUT_S = 1.0
-CONNECTIONS_PER_PEER = 64
+MAX_CONNECTIONS_PER_PEER = 64
 
-# Peers need none of these; they are most of a small message.
-UNSENT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+# Peers do not use these headers, which make up most of a small message.
+OMITTED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 KEY_REFUSED = events.define(
     1010, "key-refused", "A call to a peer or operator port had no valid key."
@@ -30,16 +30,16 @@
 
 
 class HttpPeerTransport(PeerTransport):
-    """Peers over HTTP with JSON and a bearer key.
+    """A peer transport over HTTP with JSON and a bearer key.
 
     Args:
-      address: this process's HOST:PORT for peers.
+      address: the HOST:PORT at which peers reach this process.
       keys: the keys of the peer port.
       scheme: `http` or `https`.
-      ssl_context: the client's TLS context with https.
+      ssl_context: the TLS context of outgoing calls; None for plain HTTP.
 
     Attributes:
-      running: calls that are being answered, by path.
+      running: number of calls that are being handled, by path.
     """
 
     def __init__(
@@ -57,10 +57,12 @@
         self.running: collections.Counter[str] = collections.Counter()
 
     def application(self) -> Starlette:
-        """Return the ASGI application of the peer port."""
-        return Starlette(routes=[Route("/{path:path}", self._answer, methods=["POST"])])
+        """Return the ASGI application that handles calls from peers."""
+        return Starlette(
+            routes=[Route("/{path:path}", self._handle_call, methods=["POST"])]
+        )
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle_call(self, request: Request) -> Response:
         if not self._keys.accepts(request.headers.get("authorization")):
             client = request.client.host if request.client else ""
             events.emit(KEY_REFUSED, port="peer", client=client)
@@ -82,15 +84,19 @@
     async def call(
         self, address: str, path: str, message: Message, timeout_s: float
     ) -> Message:
-        """Call a peer; see the base class."""
+        """Call a path of a peer; see `PeerTransport.call`."""
         if self._session is None:
             self._session = aiohttp.ClientSession(
-                skip_auto_headers=UNSENT_HEADERS,
+                skip_auto_headers=OMITTED_HEADERS,
                 connector=aiohttp.TCPConnector(
-                    limit=0, limit_per_host=CONNECTIONS_PER_PEER, ssl=self._ssl_context
+                    limit=0,
+                    limit_per_host=MAX_CONNECTIONS_PER_PEER,
+                    ssl=self._ssl_context,
                 )
                 if self._ssl_context
-                else aiohttp.TCPConnector(limit=0, limit_per_host=CONNECTIONS_PER_PEER),
+                else aiohttp.TCPConnector(
+                    limit=0, limit_per_host=MAX_CONNECTIONS_PER_PEER
+                ),
             )
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=min(timeout_s, CONNECT_TIMEOUT_S)
@@ -116,6 +122,6 @@
             raise errors.PeerUnreachableError(f"{address}{path}: {error!r}") from None
 
     async def close(self) -> None:
-        """Close the client's connections."""
+        """Close the connections of outgoing calls."""
         if self._session is not None:
             await self._session.close()
--- a/endivesill/keys.py
+++ b/endivesill/keys.py
@@ -1,4 +1,4 @@
-"""Keys of the peer and operator ports and of organisations."""
+"""Keys of the peer and operator ports, and hashes of organisations' keys."""
 
 from __future__ import annotations
 
@@ -15,46 +15,49 @@
 
 __all__ = ["KeyFileWatcher", "KeyRing", "bearer_key", "hash_key"]
 
-MINIMUM_KEY_LENGTH = 16
-KEY_FILE_POLL_S = 2.0
+MIN_KEY_CHARACTERS = 16
+KEY_FILE_POLL_PERIOD_S = 2.0
 
-KEYS_RELOADED = events.define(1011, "keys-reloaded", "The key file was read again.")
+KEYS_RELOADED = events.define(1011, "keys-reloaded", "The changed key file was loaded.")
 KEYS_KEPT = events.define(
     1012,
     "keys-kept",
-    "The key file has changed but cannot be used; the former keys stay valid.",
+    "The changed key file is invalid; the previous keys stay valid.",
 )
 
 
 class KeyRing:
-    """The valid keys of a port; during a rotation there are two.
+    """The valid keys of a port; more than one during a rotation.
 
     Args:
-      keys: the keys; the first is the one to send.
+      keys: the valid keys; the first one is used for outgoing calls.
+
+    Raises:
+      EndivesillError: there is no key.
     """
 
     def __init__(self, keys: Iterable[str]) -> None:
         self._keys = [key.encode() for key in keys]
         self._listeners: list[Callable[[], None]] = []
         if not self._keys:
-            raise errors.EndivesillError("a key ring needs one key at least")
+            raise errors.EndivesillError("a key ring needs at least one key")
 
     def replace(self, other: KeyRing) -> None:
-        """Take another ring's keys, for everyone who holds this ring."""
+        """Replace the keys by those of another ring and notify the listeners."""
         self._keys = list(other._keys)
         for listener in self._listeners:
             listener()
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call a listener after the keys were replaced."""
+        """Call a listener after each replacement of the keys."""
         self._listeners.append(listener)
 
     @classmethod
     def from_file(cls, path: str) -> KeyRing:
-        """Read a key file: one key a line, lines with # are comments.
+        """Read a key file with one key per line; lines that begin with # are comments.
 
         Raises:
-          FindingsError: the file cannot be read or a key is too short.
+          FindingsError: the file cannot be read, has no key or has a short key.
         """
         lines = read_text(path).splitlines()
         keys, findings = [], []
@@ -62,26 +65,26 @@
             key = line.strip()
             if not key or key.startswith("#"):
                 continue
-            if len(key) < MINIMUM_KEY_LENGTH:
-                text = f"a key has {MINIMUM_KEY_LENGTH} characters at least"
+            if len(key) < MIN_KEY_CHARACTERS:
+                text = f"a key must have at least {MIN_KEY_CHARACTERS} characters"
                 findings.append(Finding(path, number, text))
             keys.append(key)
         if not keys:
-            findings.append(Finding(path, 0, "holds no key"))
+            findings.append(Finding(path, 0, "the key file contains no key"))
         if findings:
             raise errors.FindingsError(findings)
         return cls(keys)
 
-    def texts(self) -> tuple[str, ...]:
-        """Return the valid keys, the one to send first."""
+    def valid_keys(self) -> tuple[str, ...]:
+        """Return the valid keys; the first one is used for outgoing calls."""
         return tuple(key.decode() for key in self._keys)
 
     def authorization(self) -> str:
-        """Return the value of the Authorization header to send."""
+        """Return the Authorization header value for outgoing calls."""
         return f"Bearer {self._keys[0].decode()}"
 
     def sign(self, message: bytes) -> bytes:
-        """Return the HMAC-SHA-256 of a message under the key to send."""
+        """Return the HMAC-SHA-256 of a message under the first key."""
         return hmac.digest(self._keys[0], message, "sha256")
 
     def signatures(self, message: bytes) -> list[bytes]:
@@ -89,9 +92,9 @@
         return [hmac.digest(key, message, "sha256") for key in self._keys]
 
     def accepts(self, authorization: str | None) -> bool:
-        """Tell whether an Authorization header carries a valid key.
+        """Return whether an Authorization header carries a valid key.
 
-        The comparison takes the same time wherever the keys differ.
+        The comparison takes constant time, so that it does not reveal a key.
         """
         key = (bearer_key(authorization) or "").encode()
         matches = [hmac.compare_digest(key, valid) for valid in self._keys]
@@ -99,11 +102,11 @@
 
 
 class KeyFileWatcher(Service):
-    """Reads a key file again when it changes.
+    """Reloads a key file when it changes.
 
     Args:
       timer: the timer service.
-      keys: the ring that takes the file's keys.
+      keys: the ring whose keys are replaced.
       path: the key file.
     """
 
@@ -111,21 +114,21 @@
         self._timer = timer
         self._keys = keys
         self._path = path
-        self._version = self._read_version()
+        self._version = self._file_version()
         self._handle: TimerHandle | None = None
 
     async def start(self) -> None:
-        """Begin to look at the file."""
-        self._handle = self._timer.call_every(KEY_FILE_POLL_S, self.poll)
+        """Start polling the file."""
+        self._handle = self._timer.call_every(KEY_FILE_POLL_PERIOD_S, self.poll)
 
     async def stop(self) -> None:
-        """Look no more."""
+        """Stop polling the file."""
         if self._handle is not None:
             self._handle.cancel()
 
     def poll(self) -> None:
-        """Read the file if it has changed; a wrong file changes no key."""
-        version = self._read_version()
+        """Load the file if it has changed; keep the keys if it is invalid."""
+        version = self._file_version()
         if version == self._version:
             return
         self._version = version
@@ -135,9 +138,9 @@
             events.emit(KEYS_KEPT, file=self._path, error=str(error))
             return
         self._keys.replace(keys)
-        events.emit(KEYS_RELOADED, file=self._path, count=len(keys.texts()))
+        events.emit(KEYS_RELOADED, file=self._path, count=len(keys.valid_keys()))
 
-    def _read_version(self) -> tuple[int, int, int]:
+    def _file_version(self) -> tuple[int, int, int]:
         try:
             status = pathlib.Path(self._path).stat()
         except OSError:
--- a/endivesill/link_peers.py
+++ b/endivesill/link_peers.py
@@ -1,7 +1,8 @@
-"""Peers over HTTP with JSON on plain asyncio connections.
+"""A peer transport over HTTP with JSON on the package `http1`.
 
-The sibling of `HttpPeerTransport` for processes that must start fast and stay
-small. It has no key: the platform gives its machines a network of their own.
+An alternative to `HttpPeerTransport` for processes that must start fast and use
+little memory. It uses no key, since the platform isolates the network of its
+machines.
 """
 
 from __future__ import annotations
@@ -23,45 +24,51 @@
 
 __all__ = ["LinkPeerTransport"]
 
-# A connection between VMs takes a few milliseconds; more means a lost packet.
+# Connecting to another VM takes a few milliseconds unless a packet is lost.
 CONNECT_TIMEOUT_S = 0.5
-LONGEST_IDLE_S = 10.0
-# Snapshots are sent in chunks, so that no message comes near this.
-BODY_LIMIT_BYTES = 16_777_216
-PEER_LIMITS = ConnectionLimits(
-    body_bytes=BODY_LIMIT_BYTES, idle_timeout_s=2 * LONGEST_IDLE_S
+MAX_IDLE_S = 10.0
+# Snapshots are sent in chunks, so all messages are far smaller than this.
+MAX_BODY_BYTES = 16_777_216
+PEER_CONNECTION_LIMITS = ConnectionLimits(
+    body_bytes=MAX_BODY_BYTES, idle_timeout_s=2 * MAX_IDLE_S
 )
 
 
 class LinkPeerTransport(PeerTransport):
-    """Peers over plain connections.
+    """A peer transport over HTTP without TLS and without a key.
 
     Args:
       timer: the timer service.
-      address: this process's HOST:PORT for peers.
+      address: the HOST:PORT at which peers reach this process.
     """
 
     def __init__(self, timer: TimerService, address: str) -> None:
         super().__init__(address)
         self._timer = timer
-        self._listener = HttpListener(timer, address, self._answer, PEER_LIMITS)
-        self._cancelled_paths: set[str] = set()
-        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, LONGEST_IDLE_S)
+        self._listener = HttpListener(
+            timer, address, self._handle_call, PEER_CONNECTION_LIMITS
+        )
+        self._cancel_on_disconnect_paths: set[str] = set()
+        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, MAX_IDLE_S)
 
     def cancel_on_disconnect(self, path: str) -> None:
-        """Cancel the handlers of a path whose caller has given up."""
-        self._cancelled_paths.add(path)
+        """Cancel a handler of this path when its caller disconnects."""
+        self._cancel_on_disconnect_paths.add(path)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening.
+
+        Raises:
+          OSError: the address cannot be bound.
+        """
         await self._listener.start()
 
     async def close(self) -> None:
-        """Stop listening and close the client's connections."""
+        """Stop listening and close the connections of outgoing calls."""
         await self._listener.stop()
         self._pool.close()
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle_call(self, exchange: Exchange) -> None:
         path = exchange.target.decode("latin-1")
         handler = self.handlers.get(path)
         if handler is None:
@@ -73,21 +80,21 @@
             exchange.respond(400, [])
             return
         task = asyncio.current_task()
-        if task is not None and path in self._cancelled_paths:
+        if task is not None and path in self._cancel_on_disconnect_paths:
             exchange.on_gone = task.cancel
         try:
-            answer = await handler(message)
+            response = await handler(message)
         except Exception as error:
             name = f"peer-handler {path}"
             events.emit(events.TASK_FAILED, task=name, error=repr(error))
             exchange.respond(500, [])
             return
-        exchange.respond(200, [], json.dumps(answer, separators=(",", ":")).encode())
+        exchange.respond(200, [], json.dumps(response, separators=(",", ":")).encode())
 
     async def call(
         self, address: str, path: str, message: Message, timeout_s: float
     ) -> Message:
-        """Call a peer; see the base class."""
+        """Call a path of a peer; see `PeerTransport.call`."""
         body = json.dumps(message, separators=(",", ":")).encode()
         headers = [
             (b"Host", address.encode()),
--- a/endivesill/peer_port.py
+++ b/endivesill/peer_port.py
@@ -1,4 +1,4 @@
-"""The peer port as a kernel service, with a bounded stop."""
+"""The peer port as a kernel service, with a time limit on its shutdown."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 __all__ = ["PeerPort"]
 
-STOP_LIMIT_S = 2.0
+STOP_TIMEOUT_S = 2.0
 
-CALLS_CUT = events.define(
-    1020, "peer-calls-cut", "The peer port closed with calls that had no answer."
+CALLS_ABORTED = events.define(
+    1020, "peer-calls-cut", "The peer port closed while calls were still in progress."
 )
 
 
 class PeerPort(Service):
-    """The listener for the system's own processes.
+    """The listener for calls from peers.
 
     Args:
       timer: the timer service.
-      transport: the peer transport that answers.
-      options: further options of the listener, such as its TLS files.
+      transport: the peer transport that handles the calls.
+      options: further options of `HttpServer`, such as its TLS files.
     """
 
     def __init__(
@@ -38,24 +38,29 @@
 
     @property
     def address(self) -> str:
-        """The address in use, once started."""
+        """HOST:PORT; the bound port once the service has started."""
         return self._server.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening.
+
+        Raises:
+          OSError: the address cannot be bound.
+        """
         await self._server.start()
 
     async def stop(self) -> None:
-        """Close the port and the client's connections.
+        """Close the port and the connections of the client.
 
-        Peers ask elsewhere when a call breaks, so calls that do not end are cut.
+        Calls that do not end within the time limit are aborted; peers retry them
+        at another VM.
         """
         stopping = asyncio.ensure_future(self._server.stop())
         try:
-            await self._timer.wait_for(asyncio.shield(stopping), STOP_LIMIT_S)
+            await self._timer.wait_for(asyncio.shield(stopping), STOP_TIMEOUT_S)
         except errors.DeadlineExceededError:
             running = {path: n for path, n in self._transport.running.items() if n}
-            events.emit(CALLS_CUT, calls=running)
+            events.emit(CALLS_ABORTED, calls=running)
             await self._server.kill()
             await asyncio.gather(stopping, return_exceptions=True)
         await self._transport.close()
--- a/endivesill/peers.py
+++ b/endivesill/peers.py
@@ -1,8 +1,8 @@
-"""Messages between the system's own processes.
+"""Calls between the processes of the system.
 
-A transport answers paths and calls other VMs' paths. `HttpPeerTransport`
-(`http_peers.py`) is HTTP with JSON; `MemoryPeerTransport` is its sibling for
-tests, over a `MemoryNetwork` that delays, drops and cuts.
+A transport registers handlers for paths and calls the paths of peers.
+`HttpPeerTransport` (`http_peers.py`) uses HTTP with JSON. `MemoryPeerTransport` is
+for tests; its `MemoryNetwork` simulates delays, losses and partitions.
 """
 
 from __future__ import annotations
@@ -28,10 +28,11 @@
 
 
 class PeerTransport:
-    """Base of the transports.
+    """Base class of the peer transports.
 
     Attributes:
-      address: the peer address under which others reach this process.
+      address: the address at which peers reach this process.
+      handlers: the handlers by path.
     """
 
     def __init__(self, address: str) -> None:
@@ -39,37 +40,43 @@
         self.handlers: dict[str, Handler] = {}
 
     def handle(self, path: str, handler: Handler) -> None:
-        """Answer calls to a path; a handler takes and returns a JSON object."""
+        """Register the handler of a path; it takes and returns a JSON object.
+
+        Raises:
+          EndivesillError: the path already has a handler.
+        """
         if path in self.handlers:
-            raise errors.EndivesillError(f"peer path {path} is taken")
+            raise errors.EndivesillError(f"peer path {path} already has a handler")
         self.handlers[path] = handler
 
     async def call(
         self, address: str, path: str, message: Message, timeout_s: float
     ) -> Message:
-        """Call a peer.
+        """Call a path of a peer and return its response.
 
         Raises:
-          PeerUnreachableError: no answer in time, or an error answer. The
-            message may have been handled all the same.
+          PeerUnreachableError: no response in time, or an error response. The
+            peer may have handled the message nevertheless.
         """
         raise NotImplementedError
 
     async def close(self) -> None:
-        """Close what is open."""
+        """Close all connections."""
 
 
 class MemoryNetwork:
-    """The network between `MemoryPeerTransport`s.
+    """A simulated network between `MemoryPeerTransport`s.
 
     Args:
-      timer: the timer that delays are taken on.
-      seed: seed of the drops and of the delays' spread.
+      timer: the timer of the delays.
+      seed: seed of the losses and the jitter.
 
     Attributes:
       delay_s: one-way delay of each message.
-      jitter_s: how much is added at most to each delay.
-      loss: the share of messages that are lost, each way.
+      jitter_s: maximum random addition to each delay.
+      loss: probability (0 to 1) that a message is lost, in each direction.
+      messages: number of messages sent.
+      bytes: total size of the messages sent.
     """
 
     def __init__(self, timer: TimerService, seed: int = 1) -> None:
@@ -84,33 +91,33 @@
         self._cut: set[tuple[str, str]] = set()
 
     def transport(self, address: str) -> MemoryPeerTransport:
-        """Return a new transport at an address; it replaces an earlier one."""
+        """Create the transport at an address; it replaces an earlier one."""
         transport = MemoryPeerTransport(address, self)
         self._transports[address] = transport
         return transport
 
     def remove(self, address: str) -> None:
-        """Take a process off the network, as when it dies."""
+        """Remove a process from the network, as if it had crashed."""
         self._transports.pop(address, None)
 
     def cut(self, source: str, destination: str, *, both: bool = True) -> None:
-        """Lose every message from one address to the other."""
+        """Drop all messages from one address to another, by default both ways."""
         self._cut.add((source, destination))
         if both:
             self._cut.add((destination, source))
 
     def isolate(self, address: str) -> None:
-        """Cut an address off from all others."""
+        """Partition an address from all others."""
         for other in list(self._transports):
             if other != address:
                 self.cut(address, other)
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all partitions."""
         self._cut.clear()
 
     async def deliver(self, source: str, destination: str, size: int) -> bool:
-        """Carry one message; return whether it arrives."""
+        """Delay one message; return whether it is delivered."""
         self.messages += 1
         self.bytes += size
         delay_s = self.delay_s + self.jitter_s * self._random.random()
@@ -119,12 +126,12 @@
         return not lost and (source, destination) not in self._cut
 
     def find(self, address: str) -> MemoryPeerTransport | None:
-        """Return the transport at an address."""
+        """Return the transport at an address, or None."""
         return self._transports.get(address)
 
 
 class MemoryPeerTransport(PeerTransport):
-    """Peers in one process, over a memory network."""
+    """A transport between peers in one process, over a `MemoryNetwork`."""
 
     def __init__(self, address: str, network: MemoryNetwork) -> None:
         super().__init__(address)
@@ -133,7 +140,7 @@
     async def call(
         self, address: str, path: str, message: Message, timeout_s: float
     ) -> Message:
-        """Call a peer; see the base class."""
+        """Call a path of a peer; see `PeerTransport.call`."""
         text = json.dumps(message, separators=(",", ":"))
         try:
             return await self._network.timer.wait_for(
@@ -151,16 +158,16 @@
         peer = network.find(address)
         if peer is None or path not in peer.handlers:
             raise errors.PeerUnreachableError(f"{address}{path}: refused", sent=False)
-        # The handler goes on when the caller gives up, as over a real network.
+        # The handler continues after the caller times out, as over a real network.
         task = asyncio.ensure_future(peer.handlers[path](json.loads(text)))
         try:
-            answer = await asyncio.shield(task)
+            response = await asyncio.shield(task)
         except asyncio.CancelledError:
             raise
         except Exception as error:
             raise errors.PeerUnreachableError(f"{address}{path}: {error!r}") from None
-        reply = json.dumps(answer, separators=(",", ":"))
-        arrived = await network.deliver(address, self.address, len(reply))
+        response_text = json.dumps(response, separators=(",", ":"))
+        arrived = await network.deliver(address, self.address, len(response_text))
         if not arrived or network.find(address) is not peer:
             await asyncio.get_running_loop().create_future()
-        return json.loads(reply)
+        return json.loads(response_text)
--- a/endivesill/server.py
+++ b/endivesill/server.py
@@ -1,4 +1,4 @@
-"""Listeners: an ASGI application on an address, served by uvicorn."""
+"""HTTP listeners: ASGI applications served by uvicorn."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 __all__ = ["CONNECTION_EXTENSION", "HttpServer"]
 
 BACKLOG = 2048
-POLL_S = 0.005
-HEADER_BLOCK_BYTES = 65_536
+START_POLL_PERIOD_S = 0.005
+MAX_HEADER_BLOCK_BYTES = 65_536
 HEADER_TIMEOUT_S = 10.0
-TAIL_STALL_S = 30.0
+UNREAD_RESPONSE_TIMEOUT_S = 30.0
 CONNECTION_EXTENSION = "endivesill.connection"
-TOO_LARGE = (
+HEADERS_TOO_LARGE_RESPONSE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"content-type: application/problem+json\r\n"
     b"content-length: 63\r\nconnection: close\r\n\r\n"
@@ -28,25 +28,25 @@
 
 
 class _Protocol(HttpToolsProtocol):
-    """A connection with bounds on its header blocks and on unread answers.
+    """A connection with limits on header blocks and on unread responses.
 
-    It bounds the size of a header block and the time for it, and aborts when the
-    end of an answer stays unread. By an ASGI extension applications learn whether
-    the connection is closing and drop it at once.
+    It limits the size and the duration of a header block, and aborts when the
+    client stops reading the end of a response. An ASGI extension lets applications
+    check whether the connection is closing and abort it.
     """
 
     _header_bytes = 0
     _in_headers = True
     _header_timer: asyncio.TimerHandle | None = None
-    _tail_timer: asyncio.TimerHandle | None = None
+    _unread_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        self._await_headers()
+        self._start_header_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._headers_ended()
-        self._forget_tail()
+        self._stop_header_timer()
+        self._cancel_unread_check()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
@@ -55,16 +55,16 @@
             return
         self._header_bytes += len(data)
         super().data_received(data)
-        if self._in_headers and self._header_bytes > HEADER_BLOCK_BYTES:
-            self._headers_ended()
-            self.transport.write(TOO_LARGE)
+        if self._in_headers and self._header_bytes > MAX_HEADER_BLOCK_BYTES:
+            self._stop_header_timer()
+            self.transport.write(HEADERS_TOO_LARGE_RESPONSE)
             self.transport.close()
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self._forget_tail()
+        self._cancel_unread_check()
         if not self._in_headers:
-            self._await_headers()
+            self._start_header_timer()
         extension: dict[object, object] = {
             "abort": self.transport.abort,
             "is_closing": self.transport.is_closing,
@@ -72,38 +72,38 @@
         self.scope["extensions"] = {CONNECTION_EXTENSION: extension}
 
     def on_headers_complete(self) -> None:
-        self._headers_ended()
+        self._stop_header_timer()
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
         super().on_response_complete()
-        self._watch_tail(None)
+        self._check_unread_response(None)
 
-    def _watch_tail(self, previous_bytes: int | None) -> None:
-        """Abort when nothing of an answer's end was read since the last look."""
+    def _check_unread_response(self, previous_bytes: int | None) -> None:
+        """Abort if the client read nothing of the response since the last check."""
         unread_bytes = self.transport.get_write_buffer_size()
         if not unread_bytes:
             return
         if previous_bytes is not None and unread_bytes >= previous_bytes:
             self.transport.abort()
             return
-        self._tail_timer = self.loop.call_later(
-            TAIL_STALL_S, self._watch_tail, unread_bytes
+        self._unread_timer = self.loop.call_later(
+            UNREAD_RESPONSE_TIMEOUT_S, self._check_unread_response, unread_bytes
         )
 
-    def _forget_tail(self) -> None:
-        if self._tail_timer is not None:
-            self._tail_timer.cancel()
-            self._tail_timer = None
+    def _cancel_unread_check(self) -> None:
+        if self._unread_timer is not None:
+            self._unread_timer.cancel()
+            self._unread_timer = None
 
-    def _await_headers(self) -> None:
+    def _start_header_timer(self) -> None:
         self._in_headers = True
         self._header_bytes = 0
         self._header_timer = self.loop.call_later(
             HEADER_TIMEOUT_S, self.transport.close
         )
 
-    def _headers_ended(self) -> None:
+    def _stop_header_timer(self) -> None:
         self._in_headers = False
         if self._header_timer is not None:
             self._header_timer.cancel()
@@ -111,7 +111,10 @@
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves signals to the daemon and does not poll."""
+    """A uvicorn server without signal handlers and without a polling main loop.
+
+    The daemon handles the signals.
+    """
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
@@ -126,10 +129,10 @@
 
 
 class HttpServer:
-    """One listener.
+    """An HTTP listener.
 
     Args:
-      address: HOST:PORT; port 0 takes a free one.
+      address: HOST:PORT; port 0 binds a free port.
       application: the ASGI application.
       options: further options of uvicorn, such as its TLS files.
     """
@@ -156,14 +159,14 @@
 
     @property
     def address(self) -> str:
-        """The address in use, with the port that was taken."""
+        """HOST:PORT; the bound port once the server has started."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
-          OSError: the address cannot be taken.
+          OSError: the address cannot be bound.
         """
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -174,23 +177,23 @@
         while not self._server.started:
             if self._task.done():
                 self._task.result()
-                raise OSError(f"no listener on {self.address}")
-            await asyncio.sleep(POLL_S)
+                raise OSError(f"HTTP server stopped while starting on {self.address}")
+            await asyncio.sleep(START_POLL_PERIOD_S)
 
     async def stop(self) -> None:
-        """Accept no more and end once all answers have ended."""
+        """Stop accepting connections and wait until all responses have been sent."""
         self._server.should_exit = True
         self._server.stopping.set()
         if self._task is not None:
             await self._task
 
     def abort(self) -> None:
-        """Cut all connections."""
+        """Abort all connections."""
         for connection in list(self._server.server_state.connections):
             connection.transport.abort()
 
     async def kill(self) -> None:
-        """Cut all connections and requests at once, as a process that dies."""
+        """Abort all connections and cancel all requests, like a process crash."""
         for listener in getattr(self._server, "servers", []):
             listener.close()
         self.abort()
--- a/endivesill/timer.py
+++ b/endivesill/timer.py
@@ -1,7 +1,7 @@
 """The timer service: the only source of time.
 
-`SystemTimer` runs on the machine's clocks. `ManualTimer` stands still until a
-test advances it, so that a test with no real input or output has one history.
+`SystemTimer` uses the clocks of the machine. The time of `ManualTimer` changes only
+when a test advances it, so that tests without real I/O are deterministic.
 """
 
 from __future__ import annotations
@@ -21,36 +21,41 @@
 
 
 class TimerHandle:
-    """A subscription to the timer service that can be cancelled."""
+    """A handle that cancels a scheduled call.
+
+    Attributes:
+      cancelled: whether `cancel` was called.
+      on_cancel: called by `cancel`; None for no action.
+    """
 
     def __init__(self, cancel: Callable[[], Any] | None = None) -> None:
         self.cancelled = False
-        self.cancel_inner = cancel
+        self.on_cancel = cancel
 
     def cancel(self) -> None:
-        """Cancel the subscription; a second call does nothing."""
+        """Cancel the scheduled call; may be called more than once."""
         self.cancelled = True
-        if self.cancel_inner is not None:
-            self.cancel_inner()
+        if self.on_cancel is not None:
+            self.on_cancel()
 
 
 class TimerService:
-    """Base of the timers: clocks, delays and periodic calls."""
+    """Base class of the timers: clocks, delays and periodic calls."""
 
     def now_s(self) -> float:
-        """Return a clock that never goes back and counts suspended time."""
+        """Return a monotonic time in seconds that includes suspended time."""
         raise NotImplementedError
 
     def wall_time_s(self) -> float:
-        """Return the time of day in seconds since 1970; it may jump."""
+        """Return the wall time in seconds since 1970; it may jump."""
         raise NotImplementedError
 
     def call_after(self, delay_s: float, callback: Callable[[], Any]) -> TimerHandle:
-        """Call back once after a delay."""
+        """Call a callback once after a delay."""
         raise NotImplementedError
 
     async def sleep(self, delay_s: float) -> None:
-        """Suspend the calling task for a time."""
+        """Suspend the calling task for a delay."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
         def wake() -> None:
@@ -64,30 +69,33 @@
             handle.cancel()
 
     def call_every(self, period_s: float, callback: Callable[[], Any]) -> TimerHandle:
-        """Call back once a period until the handle is cancelled."""
+        """Call a callback once per period until the handle is cancelled.
+
+        The first call comes after one period.
+        """
         handle = TimerHandle()
 
         def fire() -> None:
             if handle.cancelled:
                 return
-            handle.cancel_inner = self.call_after(period_s, fire).cancel
+            handle.on_cancel = self.call_after(period_s, fire).cancel
             callback()
 
-        handle.cancel_inner = self.call_after(period_s, fire).cancel
+        handle.on_cancel = self.call_after(period_s, fire).cancel
         return handle
 
     async def wait_for(self, awaitable: Awaitable[T], timeout_s: float) -> T:
-        """Wait for a result, for a bounded time.
+        """Wait for a result with a time limit.
 
         Args:
-          awaitable: what to wait for; it is cancelled when the time is over.
-          timeout_s: the bound.
+          awaitable: the awaitable; it is cancelled at the time limit.
+          timeout_s: the time limit.
 
         Returns:
           The awaitable's result.
 
         Raises:
-          DeadlineExceededError: the time was over first.
+          DeadlineExceededError: there was no result within the time limit.
         """
         task = asyncio.ensure_future(awaitable)
         expired = False
@@ -115,24 +123,28 @@
     """The timer of a running process."""
 
     def now_s(self) -> float:
-        """Return CLOCK_BOOTTIME, which goes on while the machine sleeps."""
+        """Return CLOCK_BOOTTIME, which includes time suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall_time_s(self) -> float:
-        """Return the time of day."""
+        """Return the system's wall time."""
         return time.time()
 
     def call_after(self, delay_s: float, callback: Callable[[], Any]) -> TimerHandle:
-        """Call back once after a delay, on the running loop."""
-        inner = asyncio.get_running_loop().call_later(delay_s, callback)
-        return TimerHandle(inner.cancel)
+        """Call a callback once after a delay, on the running event loop."""
+        loop_handle = asyncio.get_running_loop().call_later(delay_s, callback)
+        return TimerHandle(loop_handle.cancel)
 
 
 class ManualTimer(TimerService):
-    """A timer for tests: time moves only in `advance`.
+    """A timer for tests whose time changes only by `advance` and `jump`.
 
     Args:
-      start_s: the first reading of both clocks.
+      start_s: the initial time of both clocks.
+
+    Attributes:
+      wall_offset_s: difference between wall time and monotonic time; tests may
+        set it.
     """
 
     def __init__(self, start_s: float = 1_000.0) -> None:
@@ -142,22 +154,25 @@
         self._heap: list[tuple[float, int, TimerHandle, Callable[[], Any]]] = []
 
     def now_s(self) -> float:
-        """Return the manual clock."""
+        """Return the manual time."""
         return self._now_s
 
     def wall_time_s(self) -> float:
-        """Return the manual clock plus `wall_offset_s`, which tests may set."""
+        """Return the manual time plus `wall_offset_s`."""
         return self._now_s + self.wall_offset_s
 
     def call_after(self, delay_s: float, callback: Callable[[], Any]) -> TimerHandle:
-        """Call back when the clock has been advanced far enough."""
+        """Call a callback once the time has been advanced by a delay."""
         handle = TimerHandle()
         due_s = self._now_s + max(0.0, delay_s)
         heapq.heappush(self._heap, (due_s, next(self._sequence), handle, callback))
         return handle
 
     async def advance(self, delta_s: float) -> None:
-        """Move the clock on and run all that falls due, in order of time."""
+        """Advance the time and run the calls that become due, in order of time.
+
+        All ready tasks run before the first and after each call.
+        """
         end_s = self._now_s + delta_s
         await run_ready_tasks()
         while self._heap and self._heap[0][0] <= end_s:
@@ -171,12 +186,12 @@
         await run_ready_tasks()
 
     def jump(self, delta_s: float) -> None:
-        """Move the clock on without running anything, as a suspended process."""
+        """Advance the time without running any call, like a suspended process."""
         self._now_s += delta_s
 
 
 async def run_ready_tasks() -> None:
-    """Let every ready task of the loop run until none is ready."""
+    """Run the ready tasks of the event loop until none is ready."""
     ready = getattr(asyncio.get_running_loop(), "_ready", None)
     if ready is None:
         for _ in range(100):
--- a/tests/test_entry_server.py
+++ b/tests/test_entry_server.py
@@ -34,7 +34,7 @@
             total += len(data)
         return total
 
-    @mock.patch.object(server, "TAIL_STALL_S", 0.1)
+    @mock.patch.object(server, "UNREAD_RESPONSE_TIMEOUT_S", 0.1)
     async def test_a_response_that_stays_unread_is_dropped(self):
         self.writer.write(b"GET / HTTP/1.0\r\n\r\n")
         await asyncio.sleep(0.4)
@@ -42,7 +42,7 @@
             total = await self.read_to_end()
             raise ConnectionError(total) if total < RESPONSE_BYTES else AssertionError
 
-    @mock.patch.object(server, "TAIL_STALL_S", 0.1)
+    @mock.patch.object(server, "UNREAD_RESPONSE_TIMEOUT_S", 0.1)
     async def test_a_slow_but_steady_reader_receives_everything(self):
         self.writer.write(b"GET / HTTP/1.0\r\n\r\n")
         total = 0
--- a/tests/test_json_log.py
+++ b/tests/test_json_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log on standard output: bounded, never blocking, nothing silent."""
+"""Tests of the JSON log: bounded, non-blocking, and counting what it drops."""
 
 import ast
 import json
@@ -8,10 +8,10 @@
 
 from endivesill import events
 from endivesill.json_log import (
-    BUFFER_LINES,
-    HELD_LIFE_S,
-    HELD_LINES,
-    KIND_BUDGET_PER_S,
+    HELD_RETENTION_S,
+    MAX_BUFFERED_LINES,
+    MAX_HELD_LINES,
+    MAX_KIND_LINES_PER_S,
     JsonLog,
 )
 from endivesill.timer import ManualTimer
@@ -47,12 +47,12 @@
         self.assertEqual("a1", line["request"])
         self.assertEqual("vm-1", line["process"])
 
-    async def test_lines_of_one_kind_are_bounded_and_the_rest_is_counted(self):
-        for number in range(KIND_BUDGET_PER_S + 50):
+    async def test_lines_of_one_kind_are_rate_limited_and_the_rest_is_counted(self):
+        for number in range(MAX_KIND_LINES_PER_S + 50):
             self.log.write(KIND, {"n": number})
         self.log.write(OTHER, {})
         names = [line["message_type"] for line in self.lines()]
-        self.assertEqual(KIND_BUDGET_PER_S, names.count("test-line"))
+        self.assertEqual(MAX_KIND_LINES_PER_S, names.count("test-line"))
         self.assertEqual(1, names.count("other-line"))
         await self.timer.advance(1.1)
         self.log.write(OTHER, {})
@@ -60,39 +60,41 @@
         self.assertEqual("log-lines-dropped", dropped["message_type"])
         self.assertEqual({"test-line": 50}, dropped["counts"])
 
-    async def test_a_reader_that_stands_still_does_not_block_the_process(self):
+    async def test_a_stalled_reader_does_not_block_the_process(self):
         for _ in range(40):
             await self.timer.advance(1.1)
-            for number in range(KIND_BUDGET_PER_S):
+            for number in range(MAX_KIND_LINES_PER_S):
                 self.log.write(KIND, {"text": "x" * 200, "n": number})
             self.log.flush()
-        self.assertLessEqual(len(self.log._lines), BUFFER_LINES)
+        self.assertLessEqual(len(self.log._lines), MAX_BUFFERED_LINES)
         text = self.drain()
         await self.timer.advance(1.1)
         self.log.write(OTHER, {})
         text += self.drain()
         found = [json.loads(line) for line in text.splitlines()]
         dropped = [f for f in found if f["message_type"] == "log-lines-dropped"]
-        told = sum(line["counts"]["test-line"] for line in dropped)
-        kept = sum(f["message_type"] == "test-line" for f in found)
-        self.assertEqual(40 * KIND_BUDGET_PER_S, kept + told)
+        dropped_count = sum(line["counts"]["test-line"] for line in dropped)
+        written_count = sum(f["message_type"] == "test-line" for f in found)
+        self.assertEqual(40 * MAX_KIND_LINES_PER_S, written_count + dropped_count)
 
-    async def test_a_failed_request_has_all_its_lines(self):
+    async def test_all_lines_of_a_failed_request_are_written(self):
         self.log = JsonLog(
             self.timer,
             "vm-1",
             self.log._descriptor,
             lambda kind, _: kind is OTHER or None,
         )
-        for number in range(KIND_BUDGET_PER_S + 50):
+        for number in range(MAX_KIND_LINES_PER_S + 50):
             self.log.write(KIND, {"request_id": f"r{number}"})
-        late = f"r{KIND_BUDGET_PER_S + 10}"
-        self.assertNotIn(late, [line["request_id"] for line in self.lines()])
-        self.log.write(OTHER, {"request_id": late})
+        held_request = f"r{MAX_KIND_LINES_PER_S + 10}"
+        self.assertNotIn(held_request, [line["request_id"] for line in self.lines()])
+        self.log.write(OTHER, {"request_id": held_request})
         found = [(n["message_type"], n["request_id"]) for n in self.lines()]
-        self.assertEqual([("test-line", late), ("other-line", late)], found)
+        self.assertEqual(
+            [("test-line", held_request), ("other-line", held_request)], found
+        )
 
-    async def test_failures_have_a_budget_and_a_part_of_the_buffer_of_their_own(self):
+    async def test_failures_have_a_separate_rate_limit_and_reserved_buffer(self):
         self.log = JsonLog(
             self.timer,
             "vm-1",
@@ -101,33 +103,33 @@
         )
         for _ in range(40):
             await self.timer.advance(1.1)
-            for _ in range(KIND_BUDGET_PER_S):
+            for _ in range(MAX_KIND_LINES_PER_S):
                 self.log.write(KIND, {"request_id": "a", "failed": False})
         self.log.write(KIND, {"request_id": "b", "failed": True})
         last = [*self.log._lines][-1]
         self.assertEqual("b", json.loads(last)["request_id"])
 
-    async def test_lines_that_are_held_too_long_are_counted_as_dropped(self):
-        for number in range(KIND_BUDGET_PER_S + 50):
+    async def test_held_lines_expire_and_are_counted_as_dropped(self):
+        for number in range(MAX_KIND_LINES_PER_S + 50):
             self.log.write(KIND, {"request_id": f"r{number}"})
         self.lines()
-        await self.timer.advance(HELD_LIFE_S + 1.0)
+        await self.timer.advance(HELD_RETENTION_S + 1.0)
         self.log.write(OTHER, {})
         self.assertEqual({"test-line": 50}, self.lines()[0]["counts"])
 
     async def test_held_lines_are_bounded(self):
-        for number in range(KIND_BUDGET_PER_S + HELD_LINES + 7):
+        for number in range(MAX_KIND_LINES_PER_S + MAX_HELD_LINES + 7):
             self.log.write(KIND, {"request_id": f"r{number}"})
-        self.assertEqual(HELD_LINES, self.log._held_lines)
+        self.assertEqual(MAX_HELD_LINES, self.log._held_lines)
         self.assertEqual({"test-line": 7}, dict(self.log._dropped))
 
     def drain(self):
         text = b""
-        while piece := self.lines_raw():
-            text += piece
+        while chunk := self.raw_lines():
+            text += chunk
         return text
 
-    def lines_raw(self):
+    def raw_lines(self):
         self.log.flush()
         try:
             return os.read(self.reader, 1_000_000)
@@ -135,28 +137,38 @@
             return b""
 
 
-SAYS_SO = ("emit", "respond", "refuse", "fail", "note", "append", "give_up", "log")
-# A wait that is over and a task that is ended are no errors.
-NO_ERRORS = {"errors.DeadlineExceededError", "asyncio.CancelledError"}
+# Parts of the names of functions that report an error.
+REPORTING_NAMES = (
+    "emit",
+    "respond",
+    "refuse",
+    "fail",
+    "note",
+    "append",
+    "give_up",
+    "log",
+)
+# Time-outs and cancellation are part of normal operation.
+EXPECTED_EXCEPTIONS = {"errors.DeadlineExceededError", "asyncio.CancelledError"}
 
 
 class SwallowedErrorTest(unittest.TestCase):
-    """Walks the except clauses of the packages that this log serves."""
+    """Checks the except clauses of the packages that use this log."""
 
-    def test_every_handler_raises_logs_or_answers(self):
+    def test_every_handler_raises_logs_or_responds(self):
         silent: dict[str, int] = {}
         for package in ("fleet", "forwarding", "http1", "platform"):
             for path in sorted((PACKAGE / package).glob("*.py")):
                 for node in ast.walk(ast.parse(path.read_text())):
-                    if isinstance(node, ast.ExceptHandler) and not speaks(node):
-                        place = f"{path.relative_to(PACKAGE)}:{node.lineno}"
-                        silent[place] = silent.get(place, 0) + 1
+                    if isinstance(node, ast.ExceptHandler) and not reports_error(node):
+                        location = f"{path.relative_to(PACKAGE)}:{node.lineno}"
+                        silent[location] = silent.get(location, 0) + 1
         self.assertEqual({}, silent)
 
 
-def speaks(handler: ast.ExceptHandler) -> bool:
-    """Tell whether a handler raises, logs, answers, or gives the error's value."""
-    if handler.type is not None and ast.unparse(handler.type) in NO_ERRORS:
+def reports_error(handler: ast.ExceptHandler) -> bool:
+    """Return whether a handler raises, logs, responds or keeps the error."""
+    if handler.type is not None and ast.unparse(handler.type) in EXPECTED_EXCEPTIONS:
         return True
     for node in ast.walk(handler):
         if isinstance(node, ast.Raise | ast.Assign):
@@ -165,6 +177,6 @@
             return True
         if isinstance(node, ast.Call):
             name = getattr(node.func, "attr", getattr(node.func, "id", ""))
-            if any(word in name for word in SAYS_SO):
+            if any(word in name for word in REPORTING_NAMES):
                 return True
     return False
--- a/tests/test_peer_port.py
+++ b/tests/test_peer_port.py
@@ -6,12 +6,12 @@
 from endivesill import errors
 from endivesill.http_peers import HttpPeerTransport
 from endivesill.keys import KeyRing
-from endivesill.peer_port import STOP_LIMIT_S, PeerPort
+from endivesill.peer_port import STOP_TIMEOUT_S, PeerPort
 from endivesill.timer import ManualTimer
 
 
 class PeerPortTest(unittest.IsolatedAsyncioTestCase):
-    async def test_stop_ends_although_a_call_gets_no_answer(self):
+    async def test_stop_ends_although_a_handler_hangs(self):
         timer = ManualTimer()
         keys = KeyRing(["a-key-for-this-test"])
         transport = HttpPeerTransport("127.0.0.1:0", keys)
@@ -30,7 +30,7 @@
         stop = asyncio.ensure_future(port.stop())
         await asyncio.sleep(0.05)
         self.assertFalse(stop.done())
-        await timer.advance(STOP_LIMIT_S + 0.1)
+        await timer.advance(STOP_TIMEOUT_S + 0.1)
         await stop
         with self.assertRaises(errors.PeerUnreachableError):
             await call
--- a/tests/test_timer.py
+++ b/tests/test_timer.py
@@ -8,7 +8,7 @@
 
 
 class ManualTimerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_sleep_ends_when_its_time_has_come(self):
+    async def test_sleep_ends_after_its_delay(self):
         timer = ManualTimer()
         task = asyncio.ensure_future(timer.sleep(2.0))
         await timer.advance(1.9)
@@ -16,7 +16,7 @@
         await timer.advance(0.2)
         self.assertTrue(task.done())
 
-    async def test_wait_for_raises_when_the_time_is_over(self):
+    async def test_wait_for_raises_at_the_time_limit(self):
         timer = ManualTimer()
         future = asyncio.get_running_loop().create_future()
         task = asyncio.ensure_future(timer.wait_for(future, 1.0))
@@ -24,7 +24,7 @@
         with self.assertRaises(errors.DeadlineExceededError):
             task.result()
 
-    async def test_periodic_calls_keep_their_period_until_cancelled(self):
+    async def test_periodic_calls_repeat_until_cancelled(self):
         timer = ManualTimer()
         calls = []
         handle = timer.call_every(1.0, lambda: calls.append(timer.now_s()))
