--- a/endivesill/__init__.py
+++ b/endivesill/__init__.py
@@ -1,4 +1,4 @@
-"""endivesill: serving of generations of unknown length on crowded engines."""
+"""endivesill: serves generations of unknown length on heavily loaded engines."""
 
 __all__ = ["__version__"]
 
--- a/endivesill/__main__.py
+++ b/endivesill/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m endivesill` is the command-line tool."""
+"""`python -m endivesill` runs the command-line tool."""
 
 from endivesill.cli import main
 
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -1,7 +1,8 @@
-"""The services of a VM, wired by its roles.
+"""Wiring of the services of a VM according to its roles.
 
-Services start in the order in which they are added here and stop in reverse:
-the callers' port opens last and closes first.
+Services start in the order in which they are added here and stop in reverse order.
+The callers' port thus opens after the services that it depends on and closes before
+them.
 """
 
 from __future__ import annotations
@@ -51,11 +52,11 @@
 
 
 class MonitorSink:
-    """Takes what the polls of targets find.
+    """Distributes the results of target polls.
 
     Args:
-      lender: lends by the load of the targets.
-      leaving: keeps which targets are leaving.
+      lender: allocates credit by the load of the targets.
+      leaving: tracks the targets that are leaving.
     """
 
     def __init__(self, lender: Lender, leaving: LeavingTargets) -> None:
@@ -63,28 +64,28 @@
         self._leaving = leaving
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
-        """Take a load report."""
+        """Handle a load report."""
         self._leaving.report(target.name, report.boot_id, report.leaving_in_s)
         self._lender.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
-        """Note that the target does not answer."""
+        """Handle that a target does not respond."""
         self._lender.observe_silence(target)
 
     def observe_cleared(self, target: Target) -> None:
-        """Note that the target has lost its prefix cache."""
+        """Handle that a target has cleared its prefix cache."""
         self._lender.observe_cleared(target)
 
 
 class MonitorService(Service):
-    """The polls of the targets that this VM is home of.
+    """Polls the targets that this VM owns.
 
     Args:
       kernel: the process's kernel.
-      lender: lends by what the polls find.
+      lender: allocates credit by the results of the polls.
       prefixes: the index of cached prefixes.
       configuration: the source of the configuration.
-      membership: who is whose home.
+      membership: decides which VM owns which target.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
         self._monitor: TargetMonitor | None = None
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         timer = self._kernel.timer
         self._client = TargetClient(timer)
         self._monitor = TargetMonitor(
@@ -126,11 +127,11 @@
 
 
 def build_kernel(settings: Settings, timer: TimerService) -> Kernel:
-    """Wire the services that the VM's roles need.
+    """Create the services for the VM's roles and add them to a kernel.
 
     Raises:
-      FindingsError: the key file is wrong.
-      StorageError: another process holds the data folder.
+      FindingsError: the key file or a TLS file is invalid.
+      StorageError: another process uses the data folder.
     """
     kernel = Kernel(timer)
     vm = settings.vm
@@ -167,7 +168,7 @@
     if "entry" in vm.roles:
         _add_entry(kernel, settings, keys, metrics, transport, source, membership)
     _add_orders(kernel, settings, membership, source, transport, drain)
-    kernel.add("vm-list", _vm_list(kernel, settings, membership, source, drain))
+    kernel.add("vm-list", _vm_list_watch(kernel, settings, membership, source, drain))
     kernel.add("key-file", KeyFileWatcher(timer, keys, vm.key_file))
     _add_operators(kernel, settings, keys, metrics, transport, membership)
     return kernel
@@ -329,9 +330,10 @@
 
 
 def _is_gone(membership: SwimMembership, instance_id: str) -> bool:
-    """Tell whether a VM instance is known to be gone.
+    """Return whether membership knows that a VM instance is gone.
 
-    One that was never heard of is not: this VM may have joined just now.
+    An unknown instance does not count as gone, since this VM may have joined only
+    recently.
     """
     return any(
         vm.instance_id == instance_id and vm.state is VmState.GONE
@@ -339,7 +341,7 @@
     )
 
 
-def _vm_list(
+def _vm_list_watch(
     kernel: Kernel,
     settings: Settings,
     membership: SwimMembership,
--- a/endivesill/cli.py
+++ b/endivesill/cli.py
@@ -29,7 +29,7 @@
 from endivesill.cli_tools import add_tools
 from endivesill.keys import KeyRing
 from endivesill.operators.client import OperatorClient
-from endivesill.tls import trusting_context
+from endivesill.tls import context_trusting_ca
 
 __all__ = ["main"]
 
@@ -87,7 +87,7 @@
     if not connection.key_file:
         raise errors.EndivesillError("no key file; give --key-file FILE")
     keys = KeyRing.from_file(connection.key_file)
-    context = trusting_context(connection.ca) if connection.ca else None
+    context = context_trusting_ca(connection.ca) if connection.ca else None
 
     async def run() -> T:
         async with OperatorClient(
--- a/endivesill/daemon.py
+++ b/endivesill/daemon.py
@@ -1,4 +1,4 @@
-"""endivesilld: the daemon that runs on every VM."""
+"""endivesilld, the daemon of a VM."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 async def run(settings: Settings) -> None:
-    """Run until SIGTERM, SIGINT or a drain, then stop as planned."""
+    """Run until a drain is complete; SIGTERM and SIGINT start one."""
     kernel = build_kernel(settings, SystemTimer())
     drain = kernel.find("drain", DrainService)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, drain.begin, number.name)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, drain.begin, signal_number.name)
     await kernel.start()
     freeze_start_up_objects()
     events.emit(events.PROCESS_STARTED, vm=settings.vm.name)
@@ -53,7 +53,7 @@
     Parameters
     ----------
     settings_file
-        The VM's settings.
+        The settings file of the VM.
     """
     try:
         settings = read_settings(settings_file)
@@ -70,7 +70,7 @@
 
 
 def main() -> None:
-    """Run the daemon's command line."""
+    """Run the command line of the daemon."""
     app()
 
 
--- a/endivesill/ini.py
+++ b/endivesill/ini.py
@@ -1,7 +1,7 @@
-"""INI files with the line of each section and key.
+"""Parsing of INI files with the line number of each section and key.
 
-configparser reads the values. A scan adds the lines and finds what configparser
-would stop at, so that one run reports every fault of a file.
+configparser reads the values. A separate scan finds line numbers and duplicates.
+Parse errors do not stop the reading, so that one run reports all findings of a file.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 _HEADER = re.compile(r"^\[(?P<name>[^\]]+)\]\s*$")
 _KEY = re.compile(r"^(?P<key>[^\s#;=:\[][^=:]*?)\s*[=:]")
 
-# No section has this name, so that [DEFAULT] is a section like any other.
+# No section can have this name, so [DEFAULT] is an ordinary section.
 _NO_DEFAULT_SECTION = "\0"
 
 
 @attrs.frozen
 class IniValue:
-    """A value with the place where it was written."""
+    """A value with the file and line where it was defined."""
 
     text: str
     file: str
@@ -35,12 +35,12 @@
 
 @attrs.define
 class IniSection:
-    """A section with its keys in order.
+    """A section with its values in file order.
 
     Attributes:
       name: the text between the brackets.
-      file: the file it stands in.
-      line: the line of its header.
+      file: the name of the file.
+      line: the line number of its header, from 1.
       values: the values by key.
     """
 
@@ -51,10 +51,10 @@
 
 
 def read_text(path: str) -> str:
-    """Read a file that a person wrote.
+    """Read a text file in UTF-8.
 
     Raises:
-      FindingsError: it cannot be read or is not UTF-8.
+      FindingsError: the file cannot be read or is not valid UTF-8.
     """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
@@ -63,16 +63,17 @@
 
 
 def parse_ini(text: str, file: str) -> tuple[list[IniSection], list[Finding]]:
-    """Parse one file.
+    """Parse the text of an INI file.
 
     Args:
-      text: the file's content.
-      file: its name, for the findings.
+      text: the content of the file.
+      file: the name of the file, for the findings.
 
     Returns:
-      The sections without the lines at fault, and a finding for each of these.
+      The sections without the invalid lines, and one finding for each of these
+      and for each duplicate.
     """
-    parser, findings = _read(text, file)
+    parser, findings = _parse_values(text, file)
     lines, duplicates = _scan_lines(text, file)
     findings.extend(duplicates)
     sections = []
@@ -85,8 +86,10 @@
     return sections, sorted(findings)
 
 
-def _read(text: str, file: str) -> tuple[configparser.ConfigParser, list[Finding]]:
-    """Read with configparser; blank each line that it stops at and go on."""
+def _parse_values(
+    text: str, file: str
+) -> tuple[configparser.ConfigParser, list[Finding]]:
+    """Parse with configparser; blank the lines that it rejects and parse again."""
     lines = text.splitlines()
     findings: list[Finding] = []
     while True:
@@ -95,12 +98,12 @@
             parser.read_string("\n".join(lines), source=file)
             return parser, findings
         except configparser.MissingSectionHeaderError as error:
-            faults = [error.lineno]
+            invalid_lines = [error.lineno]
         except configparser.ParsingError as error:
-            faults = [line for line, _ in error.errors]
-        for number in faults:
-            shown = lines[number - 1].strip()
-            findings.append(Finding(file, number, f"not an INI line: {shown}"))
+            invalid_lines = [line for line, _ in error.errors]
+        for number in invalid_lines:
+            line_text = lines[number - 1].strip()
+            findings.append(Finding(file, number, f"invalid INI line: {line_text}"))
             lines[number - 1] = ""
 
 
@@ -126,15 +129,15 @@
         match = _KEY.match(line)
         if header:
             section = header["name"]
-            place: tuple[str, str | None] = (section, None)
-            fault = f"section [{section}] stands twice"
+            location: tuple[str, str | None] = (section, None)
+            finding_text = f"duplicate section [{section}]"
         elif match:
-            place = (section, match["key"].strip())
-            fault = f"key {place[1]} stands twice in [{section}]"
+            location = (section, match["key"].strip())
+            finding_text = f"duplicate key {location[1]} in [{section}]"
         else:
             continue
-        if place in lines:
-            findings.append(Finding(file, number, fault))
+        if location in lines:
+            findings.append(Finding(file, number, finding_text))
         else:
-            lines[place] = number
+            lines[location] = number
     return lines, findings
--- a/endivesill/presentation.py
+++ b/endivesill/presentation.py
@@ -1,4 +1,4 @@
-"""Answers of the operator port as text or JSON."""
+"""Formatting of operator port responses as text or JSON."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 ]
 
 
-def to_json(answer: Any) -> str:
-    """Return an answer as JSON; attrs objects become objects."""
-    if attrs.has(type(answer)):
-        answer = attrs.asdict(answer)
-    return json.dumps(answer, indent=1, sort_keys=True)
+def to_json(response: Any) -> str:
+    """Return a response or an attrs instance as indented JSON."""
+    if attrs.has(type(response)):
+        response = attrs.asdict(response)
+    return json.dumps(response, indent=1, sort_keys=True)
 
 
 def difference_text(difference: FolderDifference) -> str:
-    """Return the items and values that differ, with their places."""
+    """Return the items and values that differ, with file and line."""
     lines = [f"compared with revision {difference.revision}"]
     for key, document in difference.change.changed.items():
         before = difference.before.get(key)
@@ -40,39 +40,39 @@
             old = (before or {}).get(field)
             new = document.get(field)
             if old != new:
-                place = origins.get(field, "")
-                shown = f"{_value(old)} -> {_value(new)}"
-                lines.append(f"    {field}: {shown}  {place}".rstrip())
+                location = origins.get(field, "")
+                values = f"{_json_value(old)} -> {_json_value(new)}"
+                lines.append(f"    {field}: {values}  {location}".rstrip())
     lines.extend(f"- {key}" for key in difference.change.removed)
     if not difference.change:
         lines.append("no difference")
     return "\n".join(lines)
 
 
-def _value(value: Any) -> str:
+def _json_value(value: Any) -> str:
     return "default" if value is None else json.dumps(value)
 
 
-def configuration_text(answer: Message) -> str:
-    """Return both layers of the configuration."""
+def configuration_text(response: Message) -> str:
+    """Return the folder's items and the single changes of the configuration."""
     lines = [
-        f"revision {answer['revision']}, folder of revision "
-        f"{answer['folder_revision']}, digest {answer['digest'][:12]}"
+        f"revision {response['revision']}, folder of revision "
+        f"{response['folder_revision']}, digest {response['digest'][:12]}"
     ]
-    for key, document in sorted(answer["documents"].items()):
+    for key, document in sorted(response["documents"].items()):
         lines.append(key)
-        origin = answer["origins"].get(key, {})
+        origin = response["origins"].get(key, {})
         for field, value in sorted(document.items()):
-            line = f"    {field} = {_value(value)}"
-            place = origin.get("fields", {}).get(field)
-            if place:
-                line += f"  {place} at revision {origin['revision']}"
+            line = f"    {field} = {_json_value(value)}"
+            location = origin.get("fields", {}).get(field)
+            if location:
+                line += f"  {location} at revision {origin['revision']}"
             lines.append(line)
-        overlay = answer["overlays"].get(key)
+        overlay = response["overlays"].get(key)
         if overlay:
             lines.append(f"    {_overlay_text(overlay)}")
-    for key, overlay in sorted(answer["overlays"].items()):
-        if key not in answer["documents"]:
+    for key, overlay in sorted(response["overlays"].items()):
+        if key not in response["documents"]:
             lines.append(f"{key} (not in the folder)")
             lines.append(f"    {_overlay_text(overlay)}")
     return "\n".join(lines)
@@ -80,15 +80,15 @@
 
 def _overlay_text(overlay: Message) -> str:
     return (
-        f"{overlay['field']} = {_value(overlay['value'])}  single change by "
+        f"{overlay['field']} = {_json_value(overlay['value'])}  single change by "
         f"{overlay['operator']} at revision {overlay['revision']}"
     )
 
 
-def history_text(answer: Message) -> str:
-    """Return one line a change."""
+def history_text(response: Message) -> str:
+    """Return one line per change."""
     lines = []
-    for record in answer["history"]:
+    for record in response["history"]:
         keys = " ".join(record["keys"])
         lines.append(
             f"{record['revision']:>6}  number {record['number']}  "
@@ -98,50 +98,52 @@
     return "\n".join(lines) or "no changes"
 
 
-def control_text(answer: Message) -> str:
-    """Return the replicas and what may be lost."""
+def control_text(response: Message) -> str:
+    """Return the control replicas and how many voters may be lost."""
     lines = [
-        f"leader {answer['leader']}, term {answer['term']}, "
-        f"commit index {answer['commit_index']}"
+        f"leader {response['leader']}, term {response['term']}, "
+        f"commit index {response['commit_index']}"
     ]
-    for replica in answer["replicas"]:
+    for replica in response["replicas"]:
         lines.append(
             f"{replica['identity']}  {replica['address']}  "
             f"{'voter' if replica['voter'] else 'learner'}  "
             f"{'live' if replica['live'] else 'not live'}, "
             f"{'caught up' if replica['ready'] else 'behind'}"
         )
-    lines.append(f"voters that may be lost: {answer['spare_voters']}")
+    lines.append(f"voters that may be lost: {response['spare_voters']}")
     return "\n".join(lines)
 
 
-def voters_text(answer: Message) -> str:
-    """Return how a change of voters ended."""
-    done = "done" if answer["done"] else f"not done: {answer['detail']}"
-    return f"{done}\n{control_text(answer['status'])}"
+def voters_text(response: Message) -> str:
+    """Return the result of a change of the voters."""
+    done = "done" if response["done"] else f"not done: {response['detail']}"
+    return f"{done}\n{control_text(response['status'])}"
 
 
-def fleet_text(answer: Message) -> str:
-    """Return one line a VM."""
+def fleet_text(response: Message) -> str:
+    """Return one line per VM."""
     lines = []
-    for row in answer["vms"]:
-        may_go = "may go" if row["may_go"] else f"stays: {'; '.join(row['reasons'])}"
+    for row in response["vms"]:
+        next_stop = "may go" if row["may_go"] else f"stays: {'; '.join(row['reasons'])}"
         voter = "voter" if row["voter"] else ""
         lines.append(
             f"{row['name']:<20} {row['data_centre']:<16} {row['state']:<8} "
-            f"{voter:<6} {may_go}"
+            f"{voter:<6} {next_stop}"
         )
     return "\n".join(lines)
 
 
-def status_text(answer: Message) -> str:
-    """Return one line a field."""
-    return "\n".join(f"{name}: {_plain(value)}" for name, value in answer.items())
+def status_text(response: Message) -> str:
+    """Return one line per field."""
+    return "\n".join(
+        f"{name}: {_plain_value(value)}" for name, value in response.items()
+    )
 
 
-def _plain(value: Any) -> str:
+def _plain_value(value: Any) -> str:
     if isinstance(value, dict):
-        return ", ".join(f"{key} {_plain(inner)}" for key, inner in value.items())
+        return ", ".join(f"{key} {_plain_value(item)}" for key, item in value.items())
     if isinstance(value, list):
         return ", ".join(map(str, value)) or "none"
     if isinstance(value, bool):
--- a/endivesill/schema.py
+++ b/endivesill/schema.py
@@ -1,7 +1,7 @@
-"""Typed reading of INI sections into attrs classes.
+"""Declarative parsing and validation of INI sections into attrs classes.
 
-A class's fields say type, default, bounds and meaning; `read_section` turns a
-section into an instance and collects every finding.
+The fields of a class declare type, default, bounds and meaning. `read_section`
+parses a section into an instance and collects all findings.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 T = TypeVar("T")
 
-_BOOLEANS = {"yes": True, "true": True, "no": False, "false": False}
+_BOOLEAN_BY_TEXT = {"yes": True, "true": True, "no": False, "false": False}
 
 
 def field(
@@ -31,15 +31,15 @@
     choices: tuple[str, ...] = (),
     check: Callable[[Any], str | None] | None = None,
 ) -> Any:
-    """Declare a field that can be read from an INI key.
+    """Declare an attrs field that is read from an INI key.
 
     Args:
-      doc: the meaning, in one line.
-      default: the value without a key; a field without one is required.
-      minimum: the least number allowed.
-      maximum: the largest number allowed.
-      choices: the words allowed.
-      check: returns what is wrong with a value, or None.
+      doc: the meaning, in one line of the reference page.
+      default: the value if the key is missing; without it the key is required.
+      minimum: the smallest allowed number.
+      maximum: the largest allowed number.
+      choices: the allowed strings; empty for any.
+      check: returns a description of the error in a value, or None.
     """
     metadata = {
         "doc": doc,
@@ -54,15 +54,15 @@
 def read_section(
     section: IniSection, kind: type[T], fixed: dict[str, Any] | None = None
 ) -> tuple[T | None, list[Finding]]:
-    """Read one section into a class.
+    """Parse a section into an instance of a class.
 
     Args:
-      section: the section with its places.
+      section: the section, with file and line of each value.
       kind: the attrs class.
-      fixed: values that do not come from keys, such as a name.
+      fixed: values of fields that are not read from keys, such as a name.
 
     Returns:
-      The instance, or None with one finding or more.
+      The instance without findings, or None with at least one finding.
     """
     findings: list[Finding] = []
     values: dict[str, Any] = dict(fixed or {})
@@ -75,14 +75,18 @@
         if key not in names:
             findings.append(Finding(raw.file, raw.line, f"unknown key {key}"))
     for name, attribute in names.items():
-        given = section.values.get(name)
-        if given is not None:
+        ini_value = section.values.get(name)
+        if ini_value is not None:
             try:
-                values[name] = _parse(given, hints[name], attribute.metadata)
+                values[name] = _parse_and_check(
+                    ini_value, hints[name], attribute.metadata
+                )
             except ValueError as error:
-                findings.append(Finding(given.file, given.line, f"{name}: {error}"))
+                findings.append(
+                    Finding(ini_value.file, ini_value.line, f"{name}: {error}")
+                )
         elif attribute.default is attrs.NOTHING:
-            text = f"[{section.name}] needs the key {name}"
+            text = f"[{section.name}] lacks the required key {name}"
             findings.append(Finding(section.file, section.line, text))
     if findings:
         return None, findings
@@ -90,14 +94,14 @@
 
 
 def check_values(kind: type, values: dict[str, Any]) -> list[str]:
-    """Check typed values, such as those of a JSON document, against a class.
+    """Validate typed values, such as those of a JSON document, against a class.
 
     Args:
       kind: the attrs class.
       values: the values by field; fields with a default may be missing.
 
     Returns:
-      What is wrong, one text for each field.
+      A description of each error, at most one per field.
     """
     problems = []
     hints = typing.get_type_hints(kind)
@@ -116,7 +120,7 @@
         if isinstance(value, list):
             value = tuple(value)
         try:
-            _check(value, attribute.metadata)
+            _check_value(value, attribute.metadata)
         except ValueError as error:
             problems.append(f"{name}: {error}")
     return problems
@@ -135,13 +139,13 @@
     return isinstance(value, hint)
 
 
-def _parse(given: IniValue, hint: Any, metadata: Any) -> Any:
-    value = _convert(given.text.strip(), hint)
-    _check(value, metadata)
+def _parse_and_check(ini_value: IniValue, hint: Any, metadata: Any) -> Any:
+    value = _parse_text(ini_value.text.strip(), hint)
+    _check_value(value, metadata)
     return value
 
 
-def _check(value: Any, metadata: Any) -> None:
+def _check_value(value: Any, metadata: Any) -> None:
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         if metadata["minimum"] is not None and value < metadata["minimum"]:
             raise ValueError(f"{value} is under {metadata['minimum']}")
@@ -155,39 +159,39 @@
             raise ValueError(problem)
 
 
-def _convert(text: str, hint: Any) -> Any:
+def _parse_text(text: str, hint: Any) -> Any:
     if hint is bool:
-        if text.lower() not in _BOOLEANS:
-            raise ValueError(f"{text!r} is neither yes nor no")
-        return _BOOLEANS[text.lower()]
+        if text.lower() not in _BOOLEAN_BY_TEXT:
+            raise ValueError(f"{text!r} is not a boolean; use yes or no")
+        return _BOOLEAN_BY_TEXT[text.lower()]
     if hint is int:
-        return _number(text, int, "a whole number")
+        return _parse_number(text, int, "an integer")
     if hint is float:
-        return _number(text, float, "a number")
+        return _parse_number(text, float, "a number")
     if hint is str:
         if not text:
-            raise ValueError("is empty")
+            raise ValueError("the value must not be empty")
         return text
     if typing.get_origin(hint) is tuple:
         return tuple(part for part in text.replace(",", " ").split())
     if type(None) in typing.get_args(hint):
         inner = next(a for a in typing.get_args(hint) if a is not type(None))
-        return _convert(text, inner)
-    raise TypeError(f"a field of type {hint} cannot be read")
+        return _parse_text(text, inner)
+    raise TypeError(f"fields of type {hint} cannot be read from INI")
 
 
-def _number(text: str, kind: Callable[[str], Any], words: str) -> Any:
+def _parse_number(text: str, kind: Callable[[str], Any], description: str) -> Any:
     try:
         value = kind(text)
     except ValueError:
-        raise ValueError(f"{text!r} is not {words}") from None
+        raise ValueError(f"{text!r} is not {description}") from None
     if value != value or value in (float("inf"), float("-inf")):
-        raise ValueError(f"{text!r} is not {words}")
+        raise ValueError(f"{text!r} is not {description}")
     return value
 
 
 def markdown_keys(kind: type) -> str:
-    """Return a class's keys as a table for the documentation."""
+    """Return the keys of a class as a Markdown table."""
     rows = [
         "| key | type | default | bounds | meaning |",
         "| --- | --- | --- | --- | --- |",
@@ -204,23 +208,25 @@
     metadata = attribute.metadata
     default = attribute.default
     if default is attrs.NOTHING:
-        shown = "required"
+        default_text = "required"
     elif default is None or default == ():
-        shown = "none"
+        default_text = "none"
     elif isinstance(default, bool):
-        shown = "yes" if default else "no"
+        default_text = "yes" if default else "no"
     else:
-        shown = str(default)
+        default_text = str(default)
     bounds = ""
     if metadata["choices"]:
         bounds = " or ".join(metadata["choices"])
     elif metadata["minimum"] is not None or metadata["maximum"] is not None:
-        low = "" if metadata["minimum"] is None else metadata["minimum"]
-        high = "" if metadata["maximum"] is None else metadata["maximum"]
-        bounds = f"{low} to {high}".strip()
+        minimum_text = "" if metadata["minimum"] is None else metadata["minimum"]
+        maximum_text = "" if metadata["maximum"] is None else metadata["maximum"]
+        bounds = f"{minimum_text} to {maximum_text}".strip()
     name = getattr(hint, "__name__", str(hint))
     if typing.get_origin(hint) is tuple:
         name = "words"
     elif type(None) in typing.get_args(hint):
         name = next(a for a in typing.get_args(hint) if a is not type(None)).__name__
-    return f"| {attribute.name} | {name} | {shown} | {bounds} | {metadata['doc']} |"
+    return (
+        f"| {attribute.name} | {name} | {default_text} | {bounds} | {metadata['doc']} |"
+    )
--- a/endivesill/settings.py
+++ b/endivesill/settings.py
@@ -1,4 +1,4 @@
-"""Process settings: one INI file a daemon, sections declared by the packages."""
+"""Settings of the daemon: one INI file, whose sections the packages declare."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def settings_section(name: str) -> Callable[[type[T]], type[T]]:
-    """Register an attrs class as the section `[name]` of the settings file."""
+    """Return a decorator that registers an attrs class as the section `[name]`."""
 
     def register(kind: type[T]) -> type[T]:
         SECTIONS[name] = kind
@@ -50,7 +50,7 @@
 @settings_section("vm")
 @attrs.frozen
 class VmSettings:
-    """Who this VM is and where it listens."""
+    """Identity, roles and addresses of this VM."""
 
     name: str = schema.field("name of the VM, unique in the fleet")
     data_centre: str = schema.field("data centre that the VM is in")
@@ -63,24 +63,26 @@
         "HOST:PORT for operators", check=_check_address
     )
     peer_address: str = schema.field(
-        "HOST:PORT for the system's own processes", check=_check_address
+        "HOST:PORT for the other processes of the system", check=_check_address
     )
     join_addresses: tuple[str, ...] = schema.field(
-        "peer addresses of VMs to join by", default=(), check=_check_addresses
+        "peer addresses of VMs through which this VM joins the fleet",
+        default=(),
+        check=_check_addresses,
     )
     control_addresses: tuple[str, ...] = schema.field(
         "peer addresses of the control VMs", default=(), check=_check_addresses
     )
     data_folder: str = schema.field(
-        "folder of the durable state; needed by control VMs", default=""
+        "folder of the durable state; required on control VMs", default=""
     )
     key_file: str = schema.field(
-        "file with the keys of the peer and operator ports, one a line; "
+        "file with the keys of the peer and operator ports, one per line; "
         "the first is sent, all are accepted"
     )
     log_file: str = schema.field("file of the structured log", default="")
     balancer_lag_s: float = schema.field(
-        "how long the balancer may send new callers after the VM turns unready",
+        "how long the load balancer may still route requests to an unready VM",
         default=3.0,
         minimum=0,
         maximum=600,
@@ -100,7 +102,7 @@
     sections: dict[str, object]
 
     def section(self, kind: type[T]) -> T:
-        """Return the section of a class, with defaults where the file has none."""
+        """Return the section of a class; all defaults if the file lacks it."""
         for value in self.sections.values():
             if isinstance(value, kind):
                 return value
@@ -143,7 +145,13 @@
         findings.append(Finding(file, 0, "the section [vm] is missing"))
     vm = values.get("vm")
     if isinstance(vm, VmSettings) and "control" in vm.roles and not vm.data_folder:
-        findings.append(Finding(file, 0, "a control VM needs the key data_folder"))
+        findings.append(
+            Finding(
+                file,
+                0,
+                "the role control requires the key data_folder",
+            )
+        )
     if findings:
         raise errors.FindingsError(sorted(findings))
     return Settings(file, values)
--- a/endivesill/tls.py
+++ b/endivesill/tls.py
@@ -1,4 +1,4 @@
-"""TLS of the listeners and clients, by the standard library's ssl."""
+"""TLS settings and contexts of the listeners and clients."""
 
 from __future__ import annotations
 
@@ -17,40 +17,41 @@
 @settings_section("tls")
 @attrs.frozen
 class TlsSettings:
-    """TLS of the peer and operator ports, and of the callers' port if wanted."""
+    """TLS of the peer and operator ports, and optionally of the callers' port."""
 
     certificate: str = schema.field(
-        "file of this VM's certificate, in PEM; without it the ports are plain HTTP",
+        "file of this VM's certificate, in PEM; without it the ports use plain HTTP",
         default="",
     )
-    key: str = schema.field("file of the certificate's key, in PEM", default="")
+    key: str = schema.field("file of the certificate's private key, in PEM", default="")
     ca: str = schema.field(
-        "file of the authorities that sign the VMs' certificates, in PEM", default=""
+        "file with the CA certificates of the VMs' certificates, in PEM",
+        default="",
     )
     callers: bool = schema.field(
-        "the callers' port speaks TLS too, with the same certificate", default=False
+        "the callers' port also uses TLS, with the same certificate", default=False
     )
 
     @property
     def enabled(self) -> bool:
-        """Whether the peer and operator ports speak TLS."""
+        """Whether the peer and operator ports use TLS."""
         return bool(self.certificate)
 
     @property
     def scheme(self) -> str:
-        """The scheme of the peer and operator ports' addresses."""
+        """The URL scheme of the peer and operator ports: `http` or `https`."""
         return "https" if self.enabled else "http"
 
 
 def server_options(settings: TlsSettings) -> dict[str, Any]:
-    """Return the options that a listener takes; none without a certificate.
+    """Return the TLS options of a uvicorn listener; empty without a certificate.
 
     Raises:
-      FindingsError: a file cannot be used.
+      FindingsError: the certificate or its key is invalid.
     """
     if not settings.enabled:
         return {}
-    _check(settings)
+    _check_certificate(settings)
     return {
         "ssl_certfile": settings.certificate,
         "ssl_keyfile": settings.key or None,
@@ -58,21 +59,24 @@
 
 
 def client_context(settings: TlsSettings) -> ssl.SSLContext | None:
-    """Return the context of a client; None without a certificate or authority.
+    """Return the TLS context of a client; None without a certificate and CA file.
 
     Raises:
-      FindingsError: a file cannot be used.
+      FindingsError: the CA file is invalid.
     """
     if not settings.enabled and not settings.ca:
         return None
-    return trusting_context(settings.ca)
+    return context_trusting_ca(settings.ca)
+
 
+def context_trusting_ca(ca: str) -> ssl.SSLContext:
+    """Return a client context that trusts the CA certificates of a file.
 
-def trusting_context(ca: str) -> ssl.SSLContext:
-    """Return a client's context that trusts the authorities of a file.
+    Args:
+      ca: the name of the file; empty for the system's CA certificates.
 
     Raises:
-      FindingsError: the file cannot be used.
+      FindingsError: the file is invalid.
     """
     try:
         return ssl.create_default_context(cafile=ca or None)
@@ -80,7 +84,7 @@
         raise errors.FindingsError([Finding(ca, 0, str(error))]) from None
 
 
-def _check(settings: TlsSettings) -> None:
+def _check_certificate(settings: TlsSettings) -> None:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     try:
         context.load_cert_chain(settings.certificate, settings.key or None)
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -13,10 +13,10 @@
     def setUpClass(cls):
         reference.import_all()
 
-    def test_events_page_lists_every_event(self):
+    def test_events_page_is_up_to_date(self):
         page = (DOCS / "EVENTS.md").read_text(encoding="utf-8")
         self.assertEqual(reference.events_page(), page)
 
-    def test_settings_page_lists_every_key(self):
+    def test_settings_page_is_up_to_date(self):
         page = (DOCS / "SETTINGS.md").read_text(encoding="utf-8")
         self.assertEqual(reference.settings_page(), page)
