--- a/endivesill/cli.py
+++ b/endivesill/cli.py
@@ -1,6 +1,6 @@
-"""endivesill: the operators' command-line tool, a thin layer over porcelain.
+"""endivesill, the command-line tool of operators, over the functions of `porcelain`.
 
-Exit codes: 0 done, 1 error, 2 findings, 3 conflict, 4 not in force everywhere
+Exit codes: 0 success, 1 error, 2 findings, 3 conflict, 4 not in force everywhere
 yet, 5 unavailable or outcome unknown.
 """
 
@@ -40,7 +40,7 @@
 EXIT_NOT_IN_FORCE = 4
 EXIT_UNAVAILABLE = 5
 
-EXIT_CODES: tuple[tuple[type[errors.EndivesillError], int], ...] = (
+EXIT_CODE_BY_ERROR: tuple[tuple[type[errors.EndivesillError], int], ...] = (
     (errors.FindingsError, EXIT_FINDINGS),
     (errors.ConflictError, EXIT_CONFLICT),
     (errors.OutcomeUnknownError, EXIT_UNAVAILABLE),
@@ -55,8 +55,9 @@
     endivesill data-centre take-out dk-west-a --server HOST:PORT --key-file KEYS
     endivesill fleet status --output json --server HOST:PORT --key-file KEYS
 
-Exit codes: 0 done, 1 error, 2 findings, 3 conflict, 4 not in force everywhere
-yet, 5 unavailable or outcome unknown (run it again with the same number).
+Exit codes: 0 success, 1 error, 2 findings, 3 conflict, 4 not in force
+everywhere yet, 5 unavailable or outcome unknown (run it again with the same
+number).
 """
 
 T = TypeVar("T")
@@ -68,12 +69,18 @@
     help_format="plaintext",
     version=__version__,
 )
-config = cyclopts.App(name="config", help="The operators' configuration.")
-data_centre = cyclopts.App(name="data-centre", help="Take data centres out and back.")
-target = cyclopts.App(name="target", help="Targets that leave and return.")
-vm = cyclopts.App(name="vm", help="VMs of the system that leave the fleet.")
-control = cyclopts.App(name="control", help="The control replicas.")
-fleet = cyclopts.App(name="fleet", help="The VMs of the fleet.")
+config = cyclopts.App(
+    name="config", help="Check, compare and apply the operators' configuration."
+)
+data_centre = cyclopts.App(
+    name="data-centre", help="Take data centres out of service and put them back."
+)
+target = cyclopts.App(
+    name="target", help="Take targets out of service and put them back."
+)
+vm = cyclopts.App(name="vm", help="Drain VMs and let them leave the fleet.")
+control = cyclopts.App(name="control", help="Show and change the control replicas.")
+fleet = cyclopts.App(name="fleet", help="Show the VMs of the fleet.")
 for group in (config, data_centre, target, vm, control, fleet):
     app.command(group)
 add_tools(app)
@@ -81,11 +88,11 @@
 
 
 def _run(connection: Connection, action: Callable[[OperatorClient], Awaitable[T]]) -> T:
-    """Run one action with a client."""
+    """Run a coroutine function with a client of the fleet."""
     if not connection.server:
-        raise errors.EndivesillError("no server; give --server HOST:PORT")
+        raise errors.EndivesillError("no operator port given; use --server HOST:PORT")
     if not connection.key_file:
-        raise errors.EndivesillError("no key file; give --key-file FILE")
+        raise errors.EndivesillError("no key file given; use --key-file FILE")
     keys = KeyRing.from_file(connection.key_file)
     context = context_trusting_ca(connection.ca) if connection.ca else None
 
@@ -98,24 +105,24 @@
     return asyncio.run(run())
 
 
-def _show(connection: Connection, answer: Any, text: Callable[[Any], str]) -> None:
+def _show(connection: Connection, response: Any, text: Callable[[Any], str]) -> None:
     if connection.output == "json":
-        print(presentation.to_json(answer))
+        print(presentation.to_json(response))
     else:
-        print(text(answer))
+        print(text(response))
 
 
 def _report(connection: Connection) -> Callable[[str], None]:
-    """Return what prints the news of a change; JSON comes at the end only."""
+    """Return a function that prints progress messages; silent for JSON output."""
     if connection.output == "json":
         return lambda text: None
     return lambda text: print(text, flush=True)
 
 
-def _finish_change(connection: Connection, answer: porcelain.ChangeAnswer) -> int:
+def _finish_change(connection: Connection, response: porcelain.ChangeOutcome) -> int:
     if connection.output == "json":
-        print(presentation.to_json(answer))
-    return EXIT_OK if answer.in_force else EXIT_NOT_IN_FORCE
+        print(presentation.to_json(response))
+    return EXIT_OK if response.in_force else EXIT_NOT_IN_FORCE
 
 
 def _change_item(
@@ -125,7 +132,7 @@
     key: str,
     value: bool,
 ) -> int:
-    answer = _run(
+    response = _run(
         connection,
         lambda client: porcelain.change_item(
             client,
@@ -137,17 +144,17 @@
             report=_report(connection),
         ),
     )
-    return _finish_change(connection, answer)
+    return _finish_change(connection, response)
 
 
 @config.command(name="check")
 def config_check(
     folder: FolderArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> None:
-    """Check an operators' folder without applying it."""
+    """Validate an operators' folder without applying it."""
     checked = porcelain.config_check(folder)
-    answer = {"items": len(checked.documents), "findings": []}
-    _show(connection, answer, lambda a: f"{a['items']} items, no findings")
+    response = {"items": len(checked.documents), "findings": []}
+    _show(connection, response, lambda a: f"{a['items']} items, no findings")
 
 
 @config.command(name="diff")
@@ -155,8 +162,8 @@
     folder: FolderArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> None:
     """Show what an apply of a folder would change."""
-    answer = _run(connection, lambda client: porcelain.config_diff(client, folder))
-    _show(connection, answer, presentation.difference_text)
+    response = _run(connection, lambda client: porcelain.config_diff(client, folder))
+    _show(connection, response, presentation.difference_text)
 
 
 @config.command(name="apply")
@@ -168,15 +175,15 @@
     base_revision: Annotated[
         int | None,
         Parameter(
-            help="The revision that the folder was made from; by default the one "
-            "that the last apply noted in the folder."
+            help="The revision that the folder is based on; by default the one "
+            "that the last apply recorded in the folder."
         ),
     ] = None,
     change: ChangeOptions = DEFAULT_CHANGE,
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
-    """Apply a folder and wait until it is in force everywhere."""
-    answer = _run(
+    """Apply a folder and wait until it is in force on all VMs."""
+    response = _run(
         connection,
         lambda client: porcelain.config_apply(
             client,
@@ -188,22 +195,22 @@
             report=_report(connection),
         ),
     )
-    return _finish_change(connection, answer)
+    return _finish_change(connection, response)
 
 
 @config.command(name="show")
 def config_show(
     *,
     origin: Annotated[
-        bool, Parameter(help="Show where each value was written.")
+        bool, Parameter(help="Show file, line and revision of each value.")
     ] = False,
     connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show the configuration and the single changes in force."""
-    answer = _run(
+    response = _run(
         connection, lambda client: porcelain.config_show(client, origin=origin)
     )
-    _show(connection, answer, presentation.configuration_text)
+    _show(connection, response, presentation.configuration_text)
 
 
 @config.command(name="history")
@@ -213,8 +220,8 @@
     connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show the last changes, the newest first."""
-    answer = _run(connection, lambda client: porcelain.config_history(client, limit))
-    _show(connection, answer, presentation.history_text)
+    response = _run(connection, lambda client: porcelain.config_history(client, limit))
+    _show(connection, response, presentation.history_text)
 
 
 def _add_item_command(
@@ -241,29 +248,35 @@
         "take-out",
         "data-centre",
         True,
-        "Give a data centre no more new work.",
+        "Send no new work to a data centre.",
+    ),
+    (
+        data_centre,
+        "put-back",
+        "data-centre",
+        False,
+        "Send new work to a data centre again.",
     ),
-    (data_centre, "put-back", "data-centre", False, "Give it new work again."),
-    (target, "leave", "target", True, "Give a target no more new work."),
-    (target, "return", "target", False, "Give a target new work again."),
+    (target, "leave", "target", True, "Send no new work to a target."),
+    (target, "return", "target", False, "Send new work to a target again."),
     (vm, "leave", "vm", True, "Drain a VM and let it leave the fleet."),
-    (vm, "return", "vm", False, "Take back that a VM is to leave."),
+    (vm, "return", "vm", False, "Cancel the leaving of a VM."),
 ):
     _add_item_command(_group, _command, _kind, _value, _help)
 
 
 @vm.command(name="drain")
 def vm_drain(*, connection: Connection = DEFAULT_CONNECTION) -> None:
-    """Begin the planned stop of the VM at the first --server that answers."""
-    answer = _run(connection, porcelain.vm_drain)
-    _show(connection, answer, lambda a: f"{a['vm']}: {a['state']}")
+    """Start a drain (planned stop) of the VM at the first --server that responds."""
+    response = _run(connection, porcelain.vm_drain)
+    _show(connection, response, lambda a: f"{a['vm']}: {a['state']}")
 
 
 @control.command(name="status")
 def control_status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
-    """Show the control replicas and how many of them may be lost."""
-    answer = _run(connection, porcelain.control_status)
-    _show(connection, answer, presentation.control_text)
+    """Show the control replicas and how many voters may be lost."""
+    response = _run(connection, porcelain.control_status)
+    _show(connection, response, presentation.control_text)
 
 
 @control.command(name="add")
@@ -271,8 +284,8 @@
     address: AddressArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> int:
     """Make a replica a voter once it has caught up."""
-    answer = _run(connection, lambda client: porcelain.control_add(client, address))
-    return _finish_voters(connection, answer)
+    response = _run(connection, lambda client: porcelain.control_add(client, address))
+    return _finish_voters(connection, response)
 
 
 @control.command(name="remove")
@@ -280,8 +293,10 @@
     replica: ReplicaArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> int:
     """Remove a voter or learner."""
-    answer = _run(connection, lambda client: porcelain.control_remove(client, replica))
-    return _finish_voters(connection, answer)
+    response = _run(
+        connection, lambda client: porcelain.control_remove(client, replica)
+    )
+    return _finish_voters(connection, response)
 
 
 @control.command(name="replace")
@@ -292,34 +307,34 @@
     *,
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
-    """Put a replica in the place of a lost one."""
-    answer = _run(
+    """Replace a voter or learner by another replica."""
+    response = _run(
         connection, lambda client: porcelain.control_replace(client, replica, address)
     )
-    return _finish_voters(connection, answer)
+    return _finish_voters(connection, response)
 
 
-def _finish_voters(connection: Connection, answer: Any) -> int:
-    _show(connection, answer, presentation.voters_text)
-    return EXIT_OK if answer["done"] else EXIT_NOT_IN_FORCE
+def _finish_voters(connection: Connection, response: Any) -> int:
+    _show(connection, response, presentation.voters_text)
+    return EXIT_OK if response["done"] else EXIT_NOT_IN_FORCE
 
 
 @fleet.command(name="status")
 def fleet_status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
     """Show the VMs and which of them may be stopped next."""
-    answer = _run(connection, porcelain.fleet_status)
-    _show(connection, answer, presentation.fleet_text)
+    response = _run(connection, porcelain.fleet_status)
+    _show(connection, response, presentation.fleet_text)
 
 
 @app.command(name="status")
 def status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
-    """Show the summary of the VM that answers."""
-    answer = _run(connection, porcelain.status)
-    _show(connection, answer, presentation.status_text)
+    """Show the status summary of the VM that responds."""
+    response = _run(connection, porcelain.status)
+    _show(connection, response, presentation.status_text)
 
 
 def main() -> None:
-    """Run the command line; errors go to stderr with a documented exit code."""
+    """Run the command line; write errors to stderr and exit with their code."""
     try:
         code = app(result_action="return_value", exit_on_error=False)
     except cyclopts.CycloptsError:
@@ -327,5 +342,7 @@
     except errors.EndivesillError as error:
         prefix = "" if isinstance(error, errors.FindingsError) else "endivesill: "
         print(f"{prefix}{error}", file=sys.stderr)
-        code = next(code for kind, code in EXIT_CODES if isinstance(error, kind))
+        code = next(
+            code for kind, code in EXIT_CODE_BY_ERROR if isinstance(error, kind)
+        )
     raise SystemExit(code if isinstance(code, int) else EXIT_OK)
--- a/endivesill/cli_tools.py
+++ b/endivesill/cli_tools.py
@@ -1,4 +1,4 @@
-"""Commands that need no operator port: explain, load, check of files."""
+"""Commands that do not call an operator port: explain, load, platform check."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 def explain(
     request_id: str, /, *, log: LogOption, output: OutputOption = "text"
 ) -> None:
-    """Tell from the log why a request went where it went.
+    """Show the trace of a request, with the targets that were chosen and rejected.
 
     Parameters
     ----------
     request_id
-        The request's id, as the answer's X-Request-Id gives it.
+        The id of the request, from the response header X-Request-Id.
     log
-        Log files of the VMs.
+        The log files of the VMs.
     output
-        The form of the answer.
+        The form of the output.
     """
     trace = porcelain.explain(log, request_id)
     if output == "json":
@@ -44,14 +44,14 @@
 
 
 def load(experiment: str, /, *, output: OutputOption = "text") -> None:
-    """Send load to a running system and sum up what callers saw.
+    """Run a load experiment against a running system and show its summary.
 
     Parameters
     ----------
     experiment
-        The INI file of the experiment.
+        The INI file that describes the experiment.
     output
-        The form of the answer.
+        The form of the output.
     """
     summary = asyncio.run(porcelain.load(experiment))
     if output == "json":
@@ -63,12 +63,12 @@
 def platform_check(
     settings: str | None = None, /, *, deploy: str | None = None
 ) -> None:
-    """Check a process's settings file and the deploy file; tell all findings.
+    """Validate the settings file of a process and the deploy file.
 
     Parameters
     ----------
     settings
-        The settings file that the platform has written for a process.
+        The settings file that the platform wrote for a process.
     deploy
         The deploy file.
     """
@@ -81,9 +81,9 @@
 
 
 def add_tools(app: cyclopts.App) -> None:
-    """Add the commands to the command line."""
+    """Register the commands with the command-line application."""
     app.command(explain)
     app.command(load)
-    platform = cyclopts.App(name="platform", help="The users' platform.")
+    platform = cyclopts.App(name="platform", help="Check files of the platform.")
     platform.command(platform_check, name="check")
     app.command(platform)
--- a/endivesill/porcelain.py
+++ b/endivesill/porcelain.py
@@ -1,7 +1,6 @@
-"""Plain functions for each action of an operator.
+"""The operations of the command-line tool as plain functions.
 
-Those that reach the fleet take an `OperatorClient`; the command-line tool is a
-thin layer over them.
+Functions that call the fleet take an `OperatorClient`.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 from endivesill.timer import SystemTimer
 
 __all__ = [
-    "ChangeAnswer",
+    "ChangeOutcome",
     "FolderDifference",
     "change_item",
     "config_apply",
@@ -48,21 +47,21 @@
     "vm_drain",
 ]
 
-PROGRESS_POLL_S = 0.2
+PROGRESS_POLL_PERIOD_S = 0.2
 
-Report = Callable[[str], None]
+ProgressReporter = Callable[[str], None]
 
 
 @attrs.frozen
 class FolderDifference:
-    """What an apply of a folder would change.
+    """The difference between a folder and the fleet's configuration.
 
     Attributes:
-      revision: the revision of the fleet that the folder was compared with.
-      folder_revision: the newest revision that changed the folder's layer.
+      revision: the fleet's revision that the folder was compared with.
+      folder_revision: the newest revision that applied a folder.
       change: the items that differ.
-      origins: `FILE:LINE` of each value of the changed items.
-      before: the documents that would change, as the fleet has them.
+      origins: `FILE:LINE` of each value of the changed items, by key and field.
+      before: the fleet's documents of the items that differ, by key.
     """
 
     revision: int
@@ -73,16 +72,17 @@
 
 
 @attrs.frozen
-class ChangeAnswer:
-    """How a change ended.
+class ChangeOutcome:
+    """The outcome of a change.
 
     Attributes:
       outcome: `accepted` or `unchanged`.
-      revision: the revision that holds the change.
-      number: the change's number; the same one may be sent again.
+      revision: the revision that contains the change.
+      number: the idempotency number of the change; a resend uses the same one.
       in_force: whether no VM can start work under an older revision.
-      waiting_for: the VMs that may still do so.
-      without_lease: VMs that did not acknowledge it and can start no work.
+      waiting_for: the VMs that may still start work under an older revision.
+      without_lease: the VMs that have not acknowledged the revision but cannot
+        start work without a lease.
     """
 
     outcome: str
@@ -94,7 +94,7 @@
 
 
 def config_check(folder: str) -> Folder:
-    """Read and check an operators' folder.
+    """Read and validate an operators' folder.
 
     Raises:
       FindingsError: with every finding, each with file and line.
@@ -103,16 +103,16 @@
 
 
 async def config_diff(client: OperatorClient, folder: str) -> FolderDifference:
-    """Compare a folder with what the fleet has.
+    """Compare a folder with the fleet's configuration.
 
     Raises:
-      FindingsError: the folder is not in order.
-      UnavailableError: the fleet cannot be asked.
+      FindingsError: the folder is invalid.
+      UnavailableError: no server responded.
     """
-    return await _difference(client, read_folder(folder))
+    return await _compare(client, read_folder(folder))
 
 
-async def _difference(client: OperatorClient, folder: Folder) -> FolderDifference:
+async def _compare(client: OperatorClient, folder: Folder) -> FolderDifference:
     current = await client.get("/v1/configuration")
     documents = current["documents"]
     change = folder.change_from(documents)
@@ -133,48 +133,50 @@
     *,
     base_revision: int | None = None,
     wait_s: float = 10.0,
-    report: Report = lambda text: None,
-) -> ChangeAnswer:
-    """Apply a folder and wait until it is in force everywhere.
+    report: ProgressReporter = lambda text: None,
+) -> ChangeOutcome:
+    """Apply a folder and wait until it is in force on all VMs.
 
     Args:
-      client: reaches the fleet.
-      folder: the folder.
-      number: the operator's number of the change.
+      client: the client of the fleet.
+      folder: the path of the folder.
+      number: the idempotency number of the change, chosen by the operator.
       operator: the operator's name.
-      base_revision: the revision that the folder was made from; without it the
-        one that the last apply left in the folder.
-      wait_s: how long to wait until it is in force.
-      report: takes the news as it comes.
+      base_revision: the revision that the folder is based on; None for the one
+        that the last apply recorded in the folder.
+      wait_s: how long to wait until the change is in force.
+      report: receives progress messages.
 
     Raises:
-      FindingsError: the folder is not in order; nothing was changed.
-      ConflictError: another operator was first; nothing was changed.
-      OutcomeUnknownError: send the same number again.
+      FindingsError: the folder is invalid; nothing was changed.
+      ConflictError: it conflicts with another operator's change; nothing was
+        changed.
+      OutcomeUnknownError: the change may have been applied; resend it with the
+        same number.
     """
-    read = read_folder(folder)
+    local_folder = read_folder(folder)
     if base_revision is None:
         base_revision = read_base_revision(folder)
-    difference = await _difference(client, read)
+    difference = await _compare(client, local_folder)
     if base_revision is None:
         if difference.folder_revision:
             raise errors.ConflictError(
-                "it is not known which revision the folder was made from; look at "
-                f"`config diff` and give --base-revision {difference.revision}"
+                "the folder has no recorded base revision; check `config diff`, then "
+                f"apply it with --base-revision {difference.revision}"
             )
         base_revision = 0
     message = {
         "number": number,
-        "digest": digest_of_documents(read.documents),
+        "digest": digest_of_documents(local_folder.documents),
         "operator": operator,
         "base_revision": base_revision,
         "changed": difference.change.changed,
         "removed": list(difference.change.removed),
         "origins": difference.origins,
     }
-    answer = await client.post("/v1/configuration/apply", message)
-    write_base_revision(folder, answer["revision"])
-    return await _wait_in_force(client, answer, number, wait_s, report)
+    response = await client.post("/v1/configuration/apply", message)
+    write_base_revision(folder, response["revision"])
+    return await _wait_in_force(client, response, number, wait_s, report)
 
 
 async def change_item(
@@ -185,22 +187,23 @@
     *,
     number: str = "",
     wait_s: float = 10.0,
-    report: Report = lambda text: None,
-) -> ChangeAnswer:
-    """Take one item out or put it back, and wait until that is in force.
+    report: ProgressReporter = lambda text: None,
+) -> ChangeOutcome:
+    """Take an item out of service or put it back; wait until that is in force.
 
     Args:
-      client: reaches the fleet.
-      key: the item, such as `data-centre/a`.
-      value: true to take it out, false to put it back.
+      client: the client of the fleet.
+      key: the key of the item, such as `data-centre/a`.
+      value: true to take it out of service, false to put it back.
       operator: the operator's name.
-      number: the number of the change; a new one if empty.
-      wait_s: how long to wait until it is in force.
-      report: takes the news as it comes.
+      number: the idempotency number of the change; a random one if empty.
+      wait_s: how long to wait until the change is in force.
+      report: receives progress messages.
 
     Raises:
       FindingsError: there is no such item; nothing was changed.
-      OutcomeUnknownError: send the same number again.
+      OutcomeUnknownError: the change may have been applied; resend it with the
+        same number.
     """
     number = number or uuid.uuid4().hex
     message = {
@@ -210,19 +213,19 @@
         "key": key,
         "value": value,
     }
-    answer = await client.post("/v1/configuration/change", message)
-    return await _wait_in_force(client, answer, number, wait_s, report)
+    response = await client.post("/v1/configuration/change", message)
+    return await _wait_in_force(client, response, number, wait_s, report)
 
 
 async def _wait_in_force(
     client: OperatorClient,
-    answer: Message,
+    response: Message,
     number: str,
     wait_s: float,
-    report: Report,
-) -> ChangeAnswer:
-    revision = answer["revision"]
-    report(f"{answer['outcome']}: revision {revision}")
+    report: ProgressReporter,
+) -> ChangeOutcome:
+    revision = response["revision"]
+    report(f"{response['outcome']}: revision {revision}")
     accepted_s = client.timer.now_s()
     while True:
         accepted_for_s = client.timer.now_s() - accepted_s
@@ -236,9 +239,9 @@
             progress = {"in_force": False, "waiting_for": [], "without_lease": []}
         if progress["in_force"] or accepted_for_s >= wait_s:
             break
-        await client.timer.sleep(PROGRESS_POLL_S)
-    result = ChangeAnswer(
-        answer["outcome"],
+        await client.timer.sleep(PROGRESS_POLL_PERIOD_S)
+    result = ChangeOutcome(
+        response["outcome"],
         revision,
         number,
         progress["in_force"],
@@ -249,18 +252,21 @@
     return result
 
 
-def _progress_text(answer: ChangeAnswer) -> str:
-    if not answer.in_force:
-        names = ", ".join(answer.waiting_for) or "the control VMs, which do not answer"
+def _progress_text(change_outcome: ChangeOutcome) -> str:
+    if not change_outcome.in_force:
+        names = (
+            ", ".join(change_outcome.waiting_for)
+            or "the control VMs, which do not respond"
+        )
         return f"not in force everywhere yet, waiting for: {names}"
-    if answer.without_lease:
-        names = ", ".join(answer.without_lease)
+    if change_outcome.without_lease:
+        names = ", ".join(change_outcome.without_lease)
         return f"in force everywhere; without a lease, so taking no work: {names}"
     return "in force everywhere"
 
 
 async def config_show(client: OperatorClient, *, origin: bool = False) -> Message:
-    """Return both layers of the configuration, with origins if wanted."""
+    """Return the folder's items and the single changes, optionally with origins."""
     parameters = {"origins": 1} if origin else {}
     return await client.get("/v1/configuration", **parameters)
 
@@ -271,7 +277,7 @@
 
 
 async def control_status(client: OperatorClient) -> Message:
-    """Return the control replicas as their leader sees them."""
+    """Return the status of the control replicas as reported by their leader."""
     return await client.get("/v1/control")
 
 
@@ -288,7 +294,7 @@
 async def control_replace(
     client: OperatorClient, replica: str, address: str
 ) -> Message:
-    """Put the replica at a peer address in the place of another one."""
+    """Replace a voter or learner by the replica at a peer address."""
     return await _change_voters(client, "replace", replica, address)
 
 
@@ -305,56 +311,61 @@
 
 
 async def status(client: OperatorClient) -> Message:
-    """Return the summary of the VM that answers."""
+    """Return the status summary of the VM that responds."""
     return await client.get("/v1/status")
 
 
 async def vm_drain(client: OperatorClient) -> Message:
-    """Begin the planned stop of the VM that is asked."""
+    """Start a drain, the planned stop, of the VM that responds."""
     return await client.post("/v1/drain", {})
 
 
 def platform_check(settings: str | None, deploy: str | None) -> list[Finding]:
-    """Return what is wrong with a settings file and a deploy file.
+    """Validate the settings file of a process and the deploy file.
 
     Args:
-      settings: the settings file of a process; None to leave it out.
-      deploy: the deploy file; None to leave it out.
+      settings: the path of the settings file; None to skip it.
+      deploy: the path of the deploy file; None to skip it.
+
+    Returns:
+      The findings; empty if the files are valid.
 
     Raises:
-      EndivesillError: neither file is named.
+      EndivesillError: neither file is given.
     """
     if settings is None and deploy is None:
-        raise errors.EndivesillError("name a settings file, or a deploy file")
+        raise errors.EndivesillError(
+            "no file to check: give a settings file, --deploy FILE, or both"
+        )
     return check_files(settings, deploy)
 
 
 def explain(log_files: Iterable[pathlib.Path], request_id: str) -> RequestTrace:
-    """Tell from log files what happened to a request.
+    """Assemble the trace of a request from log files.
 
     Raises:
-      EndivesillError: a file cannot be read, or none names the request.
+      EndivesillError: a file cannot be read, or no file mentions the request.
     """
     try:
-        lines = itertools.chain.from_iterable(_lines(path) for path in log_files)
+        lines = itertools.chain.from_iterable(_read_lines(path) for path in log_files)
         trace = trace_request(lines, request_id)
     except OSError as error:
         raise errors.EndivesillError(str(error)) from None
     if trace is None:
-        raise errors.EndivesillError(f"no log line names request {request_id}")
+        raise errors.EndivesillError(f"no log line mentions request {request_id}")
     return trace
 
 
-def _lines(path: pathlib.Path) -> Iterator[str]:
+def _read_lines(path: pathlib.Path) -> Iterator[str]:
     with path.open(encoding="utf-8", errors="replace") as file:
         yield from file
 
 
 async def load(experiment_file: str) -> Summary:
-    """Run an experiment of the load tool and sum it up.
+    """Run an experiment of the load generator and summarise it.
 
     Raises:
-      FindingsError: the experiment's file is wrong.
+      FindingsError: the experiment file is invalid.
     """
     experiment = read_experiment(experiment_file)
     records = await LoadRunner(experiment, SystemTimer()).run()
--- a/tests/operator_server.py
+++ b/tests/operator_server.py
@@ -1,4 +1,4 @@
-"""An operator port on loopback in a thread of its own, over a local state."""
+"""An operator port on loopback, in its own thread, with an in-process state."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,7 @@
 
 
 class AcknowledgingTransport(PeerTransport):
-    """Peers that have acknowledged what a test says."""
+    """A transport whose peers report preset acknowledgements."""
 
     def __init__(self):
         super().__init__("own:1")
@@ -87,7 +87,7 @@
 
 
 class OperatorServer:
-    """The port; `address` is where it listens."""
+    """An operator port; `address` is its HOST:PORT once started."""
 
     def __init__(self, **options):
         self.loop = asyncio.new_event_loop()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -8,7 +8,7 @@
 from endivesill import errors
 from tests.operator_server import KEY, OperatorServer, run_cli
 
-PLACES = "[data-centre a]\nregion = r\n"
+DATA_CENTRES_INI = "[data-centre a]\nregion = r\n"
 
 
 class CliCase(unittest.TestCase):
@@ -18,7 +18,7 @@
         self.path = pathlib.Path(folder.name)
         self.folder = self.path / "folder"
         self.folder.mkdir()
-        self.write("10-places.ini", PLACES)
+        self.write("10-places.ini", DATA_CENTRES_INI)
         self.key_file = self.path / "keys"
         self.key_file.write_text(KEY)
         self.server = OperatorServer()
@@ -29,8 +29,8 @@
         (self.folder / name).write_text(text)
 
     def cli(self, *arguments):
-        reach = ["--server", self.server.address, "--key-file", str(self.key_file)]
-        return run_cli(*arguments, *reach)
+        connection = ["--server", self.server.address, "--key-file", str(self.key_file)]
+        return run_cli(*arguments, *connection)
 
     def acknowledge(self, revision):
         self.server.transport.acks = {str(revision): ["v0", "v1"]}
@@ -42,26 +42,26 @@
 
 
 class ApplyTest(CliCase):
-    def test_an_apply_says_accepted_and_then_in_force_everywhere(self):
+    def test_an_apply_reports_accepted_and_then_in_force(self):
         self.acknowledge(1)
         code, output, _ = self.apply()
         expected = ["accepted: revision 1", "in force everywhere"]
         self.assertEqual((0, expected), (code, output.splitlines()))
 
-    def test_what_is_not_in_force_yet_exits_4_and_names_the_vms(self):
+    def test_a_change_not_yet_in_force_exits_4_and_names_the_vms(self):
         self.server.transport.acks = {"1": ["v0"]}
         code, output, _ = self.apply(1, "--wait-s", "0")
         self.assertEqual(4, code)
         self.assertIn("waiting for: v1", output)
 
-    def test_a_resend_gets_the_first_answer(self):
+    def test_a_resend_gets_the_first_outcome(self):
         self.acknowledge(1)
         first = self.apply(1, "--output", "json")
         (self.folder / ".endivesill-revision").unlink()
-        again = self.apply(1, "--output", "json", "--base-revision", "0")
-        self.assertEqual(first, again)
+        resent = self.apply(1, "--output", "json", "--base-revision", "0")
+        self.assertEqual(first, resent)
 
-    def test_a_number_used_by_another_operator_exits_3_and_names_who(self):
+    def test_a_number_used_by_another_operator_exits_3_and_names_them(self):
         self.acknowledge(1)
         self.apply(1, "--operator", "ada")
         self.write("20-more.ini", "[data-centre b]\nregion = r\n")
@@ -69,7 +69,7 @@
         self.assertEqual(3, code)
         self.assertIn("used first by ada", error)
 
-    def test_of_two_racing_folders_the_second_cannot_undo_the_first(self):
+    def test_an_apply_on_an_outdated_base_revision_is_a_conflict(self):
         self.acknowledge(1)
         self.apply(1, "--operator", "ada")
         (self.folder / ".endivesill-revision").write_text("0\n")
@@ -79,7 +79,7 @@
         self.assertIn("changed by ada", error)
         self.assertIn("current revision is 1", error)
 
-    def test_a_folder_of_unknown_base_is_not_applied(self):
+    def test_a_folder_without_a_recorded_base_revision_is_not_applied(self):
         self.acknowledge(1)
         self.apply()
         (self.folder / ".endivesill-revision").unlink()
@@ -102,12 +102,12 @@
         self.assertEqual(4, len(error.splitlines()))
         self.assertIn("20.ini:2: ", error)
 
-    def test_diff_shows_values_with_their_places(self):
+    def test_diff_shows_values_with_file_and_line(self):
         code, output, _ = self.cli("config", "diff", str(self.folder))
         self.assertEqual(0, code)
         self.assertIn('region: default -> "r"  10-places.ini:2', output)
 
-    def test_show_names_origins_and_single_changes(self):
+    def test_show_lists_origins_and_single_changes(self):
         self.acknowledge(2)
         self.apply()
         self.cli("data-centre", "take-out", "a", "--operator", "ada")
@@ -131,7 +131,7 @@
         self.assertEqual(2, code)
         self.assertIn("there is no target none", error)
 
-    def test_control_commands_reach_the_voters(self):
+    def test_control_commands_call_the_voter_administration(self):
         self.assertEqual(0, self.cli("control", "status")[0])
         self.assertEqual(0, self.cli("control", "add", "c4:1")[0])
         code, output, _ = self.cli("control", "replace", "r1", "c4:1")
@@ -144,7 +144,7 @@
         self.assertEqual(3, code)
         self.assertIn("the quorum would be lost", error)
 
-    def test_fleet_status_tells_which_vm_may_go(self):
+    def test_fleet_status_shows_which_vms_may_be_stopped(self):
         code, output, _ = self.cli("fleet", "status", "--output", "json")
         self.assertEqual(0, code)
         rows = {row["name"]: row["may_go"] for row in json.loads(output)["vms"]}
@@ -158,7 +158,7 @@
         self.server.run(self.server.drain.wait_drained())
         self.assertFalse(self.server.drain.is_ready())
 
-    def test_a_server_that_is_down_is_passed_over(self):
+    def test_a_server_that_is_down_is_skipped(self):
         code, _, _ = self.cli("status", "--server", "127.0.0.1:1")
         self.assertEqual(0, code)
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop of a VM and of the fleet's status."""
+"""Tests of the drain of a VM and of the fleet's status."""
 
 import unittest
 
@@ -33,7 +33,7 @@
     async def asyncTearDown(self):
         await self.kernel.stop()
 
-    async def test_unready_at_once_but_not_stopped_within_the_balancer_lag(self):
+    async def test_is_unready_at_once_but_not_drained_before_the_balancer_lag(self):
         self.running = 0
         self.drain.begin("test")
         self.assertFalse(self.drain.is_ready())
@@ -42,7 +42,7 @@
         await self.timer.advance(0.2)
         self.assertIs(DrainState.DRAINED, self.drain.state)
 
-    async def test_takes_new_requests_for_the_balancer_lag_only(self):
+    async def test_accepts_new_requests_only_for_the_balancer_lag(self):
         self.assertTrue(self.drain.accepts())
         self.drain.begin("test")
         await self.timer.advance(BALANCER_LAG_S - 0.1)
@@ -76,19 +76,19 @@
         await self.timer.advance(2.0)
         self.assertEqual(["leadership", "leadership", "membership"], calls)
 
-    async def test_hand_over_that_hangs_does_not_hold_the_drain_for_ever(self):
+    async def test_a_hanging_hand_over_does_not_block_the_drain(self):
         self.running = 0
         self.drain.add_hand_over("hangs", lambda: self.timer.sleep(1e9))
         self.drain.begin("test")
         await self.timer.advance(60.0)
         self.assertIs(DrainState.DRAINED, self.drain.state)
 
-    async def test_operators_begin_it_by_the_configuration(self):
+    async def test_the_configuration_starts_the_drain(self):
         leaving = Vm("vm-1", data_centre="a", leaving=True)
         self.configuration.replace(Configuration(2, vms={"vm-1": leaving}))
         self.assertIs(DrainState.DRAINING, self.drain.state)
 
-    async def test_second_begin_changes_nothing(self):
+    async def test_a_second_begin_has_no_effect(self):
         states = []
         self.drain.subscribe(states.append)
         self.drain.begin("test")
@@ -106,38 +106,38 @@
         self.voters = {"v1", "v2", "v3"}
 
     def status(self, name, draining=()):
-        found = fleet_status(self.vms, self.voters, draining)
-        return next(status for status in found if status.vm.name == name)
+        statuses = fleet_status(self.vms, self.voters, draining)
+        return next(status for status in statuses if status.vm.name == name)
 
     def replace(self, name, **changes):
         self.vms = [
             attrs.evolve(v, **changes) if v.name == name else v for v in self.vms
         ]
 
-    def test_any_vm_of_a_whole_fleet_may_go(self):
+    def test_any_vm_of_a_complete_fleet_may_be_stopped(self):
         for name in ("v1", "v2", "v3", "v4"):
             self.assertTrue(self.status(name).may_go, name)
 
-    def test_one_at_a_time(self):
+    def test_only_one_vm_may_leave_at_a_time(self):
         self.assertIn("v2 is on its way out", self.status("v1", {"v2"}).reasons)
         self.replace("v2", state=VmState.LEAVING)
         self.assertFalse(self.status("v3").may_go)
 
-    def test_voter_stays_when_the_quorum_would_be_lost(self):
+    def test_a_voter_may_not_be_stopped_if_the_quorum_would_be_lost(self):
         self.replace("v2", state=VmState.GONE)
         self.assertFalse(self.status("v3").may_go)
         self.assertTrue(self.status("v4").may_go)
         reasons = " ".join(self.status("v3").reasons)
         self.assertIn("quorum of 2", reasons)
 
-    def test_last_entry_of_a_data_centre_stays(self):
+    def test_the_last_entry_of_a_data_centre_may_not_be_stopped(self):
         self.replace("v4", state=VmState.GONE)
         self.assertEqual(("it is the last entry of b",), self.status("v3").reasons)
 
-    def test_nobody_goes_while_a_new_vm_is_joining(self):
+    def test_no_vm_may_be_stopped_while_another_one_joins(self):
         self.replace("v4", state=VmState.JOINING)
         self.assertFalse(self.status("v1").may_go)
 
-    def test_vm_that_was_told_to_drain_and_is_gone_blocks_nobody(self):
+    def test_a_drained_vm_that_is_gone_does_not_block_others(self):
         self.replace("v4", state=VmState.GONE)
         self.assertTrue(self.status("v1", {"v4"}).may_go)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests that packages import only what the architecture page allows."""
+"""Tests that packages import only the packages that the architecture allows."""
 
 import pathlib
 import re
@@ -28,7 +28,7 @@
     "timer",
     "tls",
 }
-TOOL = {"cli", "cli_options", "cli_tools", "porcelain", "presentation"}
+COMMAND_LINE_TOOL = {"cli", "cli_options", "cli_tools", "porcelain", "presentation"}
 ALLOWED = {
     "control": set(),
     "configuration": {"control", "membership"},
@@ -52,30 +52,33 @@
     "load": set(),
     "explain": set(),
     **{
-        name: {"configuration", "operators", "load", "explain", "platform"} | TOOL
-        for name in TOOL
+        name: {"configuration", "operators", "load", "explain", "platform"}
+        | COMMAND_LINE_TOOL
+        for name in COMMAND_LINE_TOOL
     },
     **{name: set() for name in FOUNDATIONS},
 }
-UNBOUND = {"assembly", "daemon", "reference", "__main__", "__init__"}
+UNRESTRICTED = {"assembly", "daemon", "reference", "__main__", "__init__"}
 IMPORT = re.compile(r"^from endivesill(?:\.(\w+)[\w.]*)? import (\w[\w, ]*)?", re.M)
 
 
-def imports(path):
-    found = set()
+def imported_packages(path):
+    packages = set()
     for package, names in IMPORT.findall(path.read_text(encoding="utf-8")):
-        found |= {package} if package else set(names.split(", "))
-    return found - {"__version__"}
+        packages |= {package} if package else set(names.split(", "))
+    return packages - {"__version__"}
 
 
 class LayersTest(unittest.TestCase):
-    def test_every_package_imports_only_what_its_layer_may(self):
-        wrong = []
+    def test_every_package_imports_only_allowed_packages(self):
+        violations = []
         for path in sorted(PACKAGE.rglob("*.py")):
-            place = path.relative_to(PACKAGE)
-            name = place.parts[0].removesuffix(".py")
-            if name in UNBOUND:
+            module_path = path.relative_to(PACKAGE)
+            name = module_path.parts[0].removesuffix(".py")
+            if name in UNRESTRICTED:
                 continue
-            extra = imports(path) - FOUNDATIONS - ALLOWED[name] - {name}
-            wrong += [f"{place} imports {package}" for package in sorted(extra)]
-        self.assertEqual([], wrong)
+            forbidden = imported_packages(path) - FOUNDATIONS - ALLOWED[name] - {name}
+            violations += [
+                f"{module_path} imports {package}" for package in sorted(forbidden)
+            ]
+        self.assertEqual([], violations)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operator port and of how the client resends."""
+"""Tests of the operator port and of the resends of its client."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 DATA = pathlib.Path(__file__).parent / "data"
 
 
-class PortCase(unittest.TestCase):
+class OperatorPortCase(unittest.TestCase):
     options = {}
     scheme = "http"
     context = None
@@ -35,14 +35,14 @@
         try:
             with urllib.request.urlopen(
                 request, data, timeout=5, context=self.context
-            ) as answer:
-                return answer.status, answer.read().decode()
+            ) as response:
+                return response.status, response.read().decode()
         except urllib.error.HTTPError as error:
             with error:
                 return error.code, error.read().decode()
 
 
-class KeyTest(PortCase):
+class KeyTest(OperatorPortCase):
     def test_every_path_but_health_needs_a_key(self):
         for path in ("/metrics", "/v1/status", "/v1/control", "/v1/configuration"):
             self.assertEqual(401, self.request(path, key="wrong")[0], path)
@@ -55,7 +55,7 @@
         self.assertIn("key-refused", [kind.name for kind, _ in seen])
         self.assertNotIn("secret", repr(seen))
 
-    def test_during_a_rotation_both_keys_are_valid(self):
+    def test_both_keys_are_valid_during_a_rotation(self):
         new_key = "the-new-key-of-the-tests"
         self.server.keys.replace(KeyRing([KEY, new_key]))
         self.assertEqual(200, self.request("/v1/status", key=KEY)[0])
@@ -68,20 +68,20 @@
         self.assertEqual(200, status)
 
 
-class BodyTest(PortCase):
-    def test_a_body_of_the_wrong_form_is_a_clear_4xx(self):
+class BodyTest(OperatorPortCase):
+    def test_a_malformed_body_is_a_400(self):
         path = "/v1/configuration/change"
-        good = change_message("x", "data-centre/a", True)
-        del good["wall_time_s"]
-        wrong_type = {**good, "value": "yes"}
+        valid_body = change_message("x", "data-centre/a", True)
+        del valid_body["wall_time_s"]
+        wrong_type = {**valid_body, "value": "yes"}
         missing = {"number": "x"}
         for body in (wrong_type, missing, [1]):
             status, text = self.request(path, body)
             self.assertEqual(400, status)
             self.assertEqual("request", json.loads(text)["error"])
-        self.assertEqual(422, self.request(path, good)[0])
+        self.assertEqual(422, self.request(path, valid_body)[0])
 
-    def test_an_entry_that_does_not_check_is_refused(self):
+    def test_an_invalid_document_is_refused_with_findings(self):
         body = apply_message("1", {"data-centre/a": {"colour": "red"}})
         del body["wall_time_s"]
         status, text = self.request("/v1/configuration/apply", body)
@@ -89,7 +89,7 @@
         self.assertEqual(2, len(json.loads(text)["findings"]))
 
 
-class ProgressTest(PortCase):
+class ProgressTest(OperatorPortCase):
     def progress(self, accepted_for_s):
         parameters = f"revision=2&accepted_for_s={accepted_for_s}"
         status, text = self.request(f"/v1/configuration/progress?{parameters}")
@@ -103,14 +103,14 @@
         self.server.transport.acks = {"3": ["v0"], "2": ["v1"]}
         self.assertTrue(self.progress(0.5)["in_force"])
 
-    def test_a_vm_without_a_lease_does_not_hold_up_the_answer(self):
+    def test_a_vm_without_a_lease_does_not_delay_in_force(self):
         self.server.transport.acks = {"2": ["v1"]}
         self.assertFalse(self.progress(LEASE_S)["in_force"])
         answer = self.progress(LEASE_S + 0.3)
         self.assertEqual((True, ["v0"]), (answer["in_force"], answer["without_lease"]))
 
 
-class TlsTest(PortCase):
+class TlsTest(OperatorPortCase):
     settings = TlsSettings(
         certificate=str(DATA / "tls-certificate.pem"),
         key=str(DATA / "tls-key.pem"),
@@ -120,30 +120,30 @@
     scheme = "https"
     context = client_context(settings)
 
-    def test_the_port_speaks_tls(self):
+    def test_the_port_uses_tls(self):
         self.assertEqual(200, self.request("/v1/status")[0])
 
-    def test_a_client_that_does_not_trust_the_authority_goes_away(self):
+    def test_a_client_that_does_not_trust_the_ca_disconnects(self):
         self.context = ssl.create_default_context()
         with self.assertRaises(urllib.error.URLError):
             self.request("/v1/status")
 
-    def test_a_certificate_that_cannot_be_read_is_a_finding(self):
+    def test_an_unreadable_certificate_is_a_finding(self):
         with self.assertRaises(errors.FindingsError):
             server_options(TlsSettings(certificate="nosuch.pem"))
 
 
 class LosingClient(OperatorClient):
-    """A client whose first answers are lost."""
+    """A client that loses its first responses."""
 
-    lost = 1
+    responses_to_lose = 1
 
     async def _call_server(self, *arguments):
-        answer = await super()._call_server(*arguments)
-        if self.lost:
-            self.lost -= 1
+        response = await super()._call_server(*arguments)
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             raise TimeoutError
-        return answer
+        return response
 
 
 class ResendTest(unittest.IsolatedAsyncioTestCase):
@@ -157,7 +157,7 @@
         del body["wall_time_s"]
         return await client.post("/v1/configuration/apply", body)
 
-    async def test_a_change_whose_answer_was_lost_is_made_once(self):
+    async def test_a_change_whose_response_was_lost_is_applied_once(self):
         keys = KeyRing([KEY])
         async with LosingClient([self.server.address], keys) as client:
             answer = await self.send(client, "1")
@@ -165,14 +165,14 @@
         section = self.server.control.state.section("configuration")
         self.assertEqual(1, section["revision"])
 
-    async def test_without_any_answer_the_outcome_is_unknown(self):
+    async def test_without_any_response_the_outcome_is_unknown(self):
         keys = KeyRing([KEY])
         client = LosingClient([self.server.address], keys, timeout_s=0.0)
         async with client:
             with self.assertRaises(errors.OutcomeUnknownError):
                 await self.send(client, "1")
 
-    async def test_a_server_that_cannot_be_reached_changed_nothing(self):
+    async def test_without_a_connection_nothing_was_changed(self):
         keys = KeyRing([KEY])
         async with OperatorClient(["127.0.0.1:1"], keys, timeout_s=0.0) as client:
             with self.assertRaises(errors.UnavailableError):
--- a/tests/test_porcelain.py
+++ b/tests/test_porcelain.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' actions against a fake client."""
+"""Tests of the operators' functions against a fake client."""
 
 import asyncio
 import pathlib
@@ -10,7 +10,7 @@
 
 
 class FakeClient:
-    """Answers what a test says, and keeps what was posted."""
+    """Returns preset responses and records the posted messages."""
 
     def __init__(self):
         self.timer = ManualTimer()
@@ -24,9 +24,13 @@
         if path.endswith("/progress"):
             if self.failure:
                 raise self.failure
-            done = self.timer.now_s() >= self.in_force_at_s
-            waiting = [] if done else ["v1"]
-            return {"in_force": done, "waiting_for": waiting, "without_lease": []}
+            is_in_force = self.timer.now_s() >= self.in_force_at_s
+            waiting = [] if is_in_force else ["v1"]
+            return {
+                "in_force": is_in_force,
+                "waiting_for": waiting,
+                "without_lease": [],
+            }
         return {
             "revision": 7,
             "folder_revision": self.folder_revision,
@@ -45,19 +49,24 @@
         self.folder = folder.name
         self.write("1.ini", "[data-centre a]\nregion = r\n")
         self.client = FakeClient()
-        self.news = []
+        self.progress_messages = []
 
     def write(self, name, text):
         pathlib.Path(self.folder, name).write_text(text)
 
-    async def run_action(self, action, seconds=20.0):
+    async def run_with_timer(self, action, seconds=20.0):
         task = asyncio.ensure_future(action)
         await self.client.timer.advance(seconds)
         return task.result()
 
     def apply(self, **options):
         return porcelain.config_apply(
-            self.client, self.folder, "5", "ada", report=self.news.append, **options
+            self.client,
+            self.folder,
+            "5",
+            "ada",
+            report=self.progress_messages.append,
+            **options,
         )
 
 
@@ -66,33 +75,33 @@
         self.client.in_force_at_s += 2.0
         task = asyncio.ensure_future(self.apply())
         await self.client.timer.advance(1.9)
-        self.assertEqual(["accepted: revision 8"], self.news)
+        self.assertEqual(["accepted: revision 8"], self.progress_messages)
         await self.client.timer.advance(0.3)
         self.assertTrue(task.result().in_force)
-        self.assertEqual("in force everywhere", self.news[-1])
+        self.assertEqual("in force everywhere", self.progress_messages[-1])
 
-    async def test_it_names_the_vms_that_are_not_there_when_the_wait_is_over(self):
+    async def test_it_names_the_vms_that_have_not_acknowledged_at_the_time_limit(self):
         self.client.in_force_at_s += 60.0
-        answer = await self.run_action(self.apply(wait_s=4.0))
+        answer = await self.run_with_timer(self.apply(wait_s=4.0))
         self.assertEqual((False, ("v1",)), (answer.in_force, answer.waiting_for))
-        self.assertIn("waiting for: v1", self.news[-1])
+        self.assertIn("waiting for: v1", self.progress_messages[-1])
 
-    async def test_a_quorum_lost_after_the_commit_is_not_taken_for_in_force(self):
+    async def test_a_quorum_lost_after_the_commit_does_not_count_as_in_force(self):
         self.client.failure = errors.UnavailableError("no replica")
-        answer = await self.run_action(self.apply(wait_s=2.0))
+        answer = await self.run_with_timer(self.apply(wait_s=2.0))
         self.assertFalse(answer.in_force)
-        self.assertIn("control VMs", self.news[-1])
+        self.assertIn("control VMs", self.progress_messages[-1])
 
-    async def test_the_digest_of_a_resend_does_not_depend_on_the_fleet(self):
-        await self.run_action(self.apply())
+    async def test_the_digest_of_a_resend_is_independent_of_the_fleets_state(self):
+        await self.run_with_timer(self.apply())
         self.client.documents = {"data-centre/a": {"region": "r"}}
         self.client.folder_revision = 8
-        await self.run_action(self.apply())
-        (_, first), (_, again) = self.client.posted
-        self.assertEqual(first["digest"], again["digest"])
-        self.assertEqual((0, 8), (first["base_revision"], again["base_revision"]))
+        await self.run_with_timer(self.apply())
+        (_, first), (_, resent) = self.client.posted
+        self.assertEqual(first["digest"], resent["digest"])
+        self.assertEqual((0, 8), (first["base_revision"], resent["base_revision"]))
 
-    async def test_a_folder_with_findings_is_not_sent(self):
+    async def test_an_invalid_folder_is_not_sent(self):
         self.write("2.ini", "[data-centre b]\n")
         with self.assertRaises(errors.FindingsError):
             await self.apply()
@@ -100,9 +109,9 @@
 
 
 class ChangeTest(PorcelainCase):
-    async def test_each_single_change_has_a_number_of_its_own(self):
+    async def test_each_single_change_has_its_own_number(self):
         for _ in range(2):
-            await self.run_action(
+            await self.run_with_timer(
                 porcelain.change_item(self.client, "data-centre/a", True, "ada")
             )
         numbers = {body["number"] for _, body in self.client.posted}
