--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -10,7 +10,7 @@
 from endivesill.configuration.control_replica import ControlReplicaView
 from endivesill.configuration.model import Target
 from endivesill.configuration.named import NamedConfigurationSource
-from endivesill.configuration.replica import ReplicaPort
+from endivesill.configuration.replica import ReplicaEndpoint
 from endivesill.configuration.store import ConfigurationFile
 from endivesill.configuration.watcher import ConfigurationWatcher
 from endivesill.control import ControlClient
@@ -41,7 +41,7 @@
 from endivesill.orders.service import OrderService
 from endivesill.orders.settings import OrderSettings
 from endivesill.peer_port import PeerPort
-from endivesill.routing import Backoff, Lender, PrefixIndex, Router, Wallet
+from endivesill.routing import Backoff, CreditClient, CreditServer, PrefixIndex, Router
 from endivesill.settings import Settings
 from endivesill.targets import EngineAdapter, LoadReport, TargetClient
 from endivesill.targets.monitor import TargetMonitor
@@ -59,22 +59,24 @@
       leaving: tracks the targets that are leaving.
     """
 
-    def __init__(self, lender: Lender, leaving: LeavingTargets) -> None:
+    def __init__(self, lender: CreditServer, leaving: LeavingTargets) -> None:
         self._lender = lender
         self._leaving = leaving
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
         """Handle a load report."""
-        self._leaving.report(target.name, report.boot_id, report.leaving_in_s)
+        self._leaving.apply_load_report(
+            target.name, report.boot_id, report.leaving_in_s
+        )
         self._lender.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
         """Handle that a target does not respond."""
         self._lender.observe_silence(target)
 
-    def observe_cleared(self, target: Target) -> None:
+    def observe_cache_cleared(self, target: Target) -> None:
         """Handle that a target has cleared its prefix cache."""
-        self._lender.observe_cleared(target)
+        self._lender.observe_cache_cleared(target)
 
 
 class MonitorService(Service):
@@ -91,7 +93,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        lender: Lender,
+        lender: CreditServer,
         prefixes: PrefixIndex,
         configuration: NamedConfigurationSource,
         membership: SwimMembership,
@@ -188,7 +190,7 @@
             settings.section(ControlSettings),
         )
         view = ControlReplicaView(replica)
-        port = ReplicaPort(kernel.timer, transport, view)
+        port = ReplicaEndpoint(kernel.timer, transport, view)
         control = replica
         kernel.add("control", control)
         kernel.add("configuration-port", port)
@@ -235,14 +237,18 @@
 ) -> None:
     timer = kernel.timer
     instance_id = membership.own_record.instance_id
-    lender = Lender(timer, source.current, instance_id, membership, transport, source)
-    wallet = Wallet(timer, source.current, instance_id, lender, membership, transport)
+    lender = CreditServer(
+        timer, source.current, instance_id, membership, transport, source
+    )
+    wallet = CreditClient(
+        timer, source.current, instance_id, lender, membership, transport
+    )
     prefixes = PrefixIndex()
     router = Router(
         timer,
         source.current,
         source=source,
-        wallet=wallet,
+        credit_client=wallet,
         prefixes=prefixes,
         is_leaving=membership.leaving_targets.is_leaving,
         entry_name=settings.vm.name,
