--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -55,12 +55,12 @@
     """Distributes the results of target polls.
 
     Args:
-      lender: allocates credit by the load of the targets.
+      credit_server: allocates credit by the load of the targets.
       leaving: tracks the targets that are leaving.
     """
 
-    def __init__(self, lender: CreditServer, leaving: LeavingTargets) -> None:
-        self._lender = lender
+    def __init__(self, credit_server: CreditServer, leaving: LeavingTargets) -> None:
+        self._credit_server = credit_server
         self._leaving = leaving
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
@@ -68,15 +68,15 @@
         self._leaving.apply_load_report(
             target.name, report.boot_id, report.leaving_in_s
         )
-        self._lender.observe_load(target, report)
+        self._credit_server.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
         """Handle that a target does not respond."""
-        self._lender.observe_silence(target)
+        self._credit_server.observe_silence(target)
 
     def observe_cache_cleared(self, target: Target) -> None:
         """Handle that a target has cleared its prefix cache."""
-        self._lender.observe_cache_cleared(target)
+        self._credit_server.observe_cache_cleared(target)
 
 
 class MonitorService(Service):
@@ -84,7 +84,7 @@
 
     Args:
       kernel: the process's kernel.
-      lender: allocates credit by the results of the polls.
+      credit_server: allocates credit by the results of the polls.
       prefixes: the index of cached prefixes.
       configuration: the source of the configuration.
       membership: decides which VM owns which target.
@@ -93,13 +93,13 @@
     def __init__(
         self,
         kernel: Kernel,
-        lender: CreditServer,
+        credit_server: CreditServer,
         prefixes: PrefixIndex,
         configuration: NamedConfigurationSource,
         membership: SwimMembership,
     ) -> None:
         self._kernel = kernel
-        self._lender = lender
+        self._credit_server = credit_server
         self._prefixes = prefixes
         self._configuration = configuration
         self._membership = membership
@@ -115,7 +115,7 @@
             self._configuration.current,
             EngineAdapter(self._client, timer),
             self._membership.is_home,
-            MonitorSink(self._lender, self._membership.leaving_targets),
+            MonitorSink(self._credit_server, self._membership.leaving_targets),
             self._prefixes,
         )
         await self._monitor.start()
@@ -237,26 +237,28 @@
 ) -> None:
     timer = kernel.timer
     instance_id = membership.own_record.instance_id
-    lender = CreditServer(
+    credit_server = CreditServer(
         timer, source.current, instance_id, membership, transport, source
     )
-    wallet = CreditClient(
-        timer, source.current, instance_id, lender, membership, transport
+    credit_client = CreditClient(
+        timer, source.current, instance_id, credit_server, membership, transport
     )
     prefixes = PrefixIndex()
     router = Router(
         timer,
         source.current,
         source=source,
-        credit_client=wallet,
+        credit_client=credit_client,
         prefixes=prefixes,
         is_leaving=membership.leaving_targets.is_leaving,
         entry_name=settings.vm.name,
         data_centre=settings.vm.data_centre,
         metrics=metrics,
     )
-    kernel.add("monitor", MonitorService(kernel, lender, prefixes, source, membership))
-    kernel.add("wallet", wallet)
+    kernel.add(
+        "monitor", MonitorService(kernel, credit_server, prefixes, source, membership)
+    )
+    kernel.add("wallet", credit_client)
     kernel.add("router", router)
     drain = kernel.find("drain", DrainService)
     tls = settings.section(TlsSettings)
