--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -52,7 +52,7 @@
 
 
 class MonitorSink:
-    """Distributes the results of target polls.
+    """Forwards the results of target polls to the services that use them.
 
     Args:
       credit_server: allocates credit by the load of the targets.
@@ -64,18 +64,18 @@
         self._leaving = leaving
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
-        """Handle a load report."""
+        """Forward a load report and the departure that it announces."""
         self._leaving.apply_load_report(
             target.name, report.boot_id, report.leaving_in_s
         )
         self._credit_server.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
-        """Handle that a target does not respond."""
+        """Forward that a target does not respond to polls."""
         self._credit_server.observe_silence(target)
 
     def observe_cache_cleared(self, target: Target) -> None:
-        """Handle that a target has cleared its prefix cache."""
+        """Forward that a target has cleared its prefix cache."""
         self._credit_server.observe_cache_cleared(target)
 
 
--- a/endivesill/cli.py
+++ b/endivesill/cli.py
@@ -260,7 +260,7 @@
     (target, "leave", "target", True, "Send no new work to a target."),
     (target, "return", "target", False, "Send new work to a target again."),
     (vm, "leave", "vm", True, "Drain a VM and let it leave the fleet."),
-    (vm, "return", "vm", False, "Cancel the leaving of a VM."),
+    (vm, "return", "vm", False, "Cancel the departure of a VM from the fleet."),
 ):
     _add_item_command(_group, _command, _kind, _value, _help)
 
--- a/endivesill/explain.py
+++ b/endivesill/explain.py
@@ -52,7 +52,7 @@
       time_s: when it was logged, in seconds since 1970.
       number: the event's number.
       name: the event's name.
-      fields: the event's own_events fields, without the log envelope.
+      fields: the event's own fields, without the log envelope.
     """
 
     time_s: float
@@ -92,12 +92,12 @@
 
 def read_trace_events(lines: Iterable[str]) -> list[TraceEvent]:
     """Parse log lines into events; skip lines that are not events."""
-    steps = []
+    events = []
     for line in lines:
         event = _parse_event(line)
         if event is not None:
-            steps.append(event)
-    return steps
+            events.append(event)
+    return events
 
 
 def _parse_event(line: str) -> TraceEvent | None:
@@ -125,14 +125,14 @@
       The trace, or None if no line has this request id.
     """
     all_events = read_trace_events(lines)
-    steps = [event for event in all_events if _has_request_or_generation(event)]
-    own_events = [event for event in steps if event.request_id == request_id]
+    candidates = [event for event in all_events if _has_request_or_generation(event)]
+    own_events = [event for event in candidates if event.request_id == request_id]
     if not own_events:
         return None
     generations = {event.fields.get(GENERATION_FIELD) for event in own_events} - {None}
     related = [
         event
-        for event in steps
+        for event in candidates
         if event.request_id == request_id
         or event.fields.get(GENERATION_FIELD) in generations
     ]
@@ -150,10 +150,10 @@
     )
 
 
-def _missing(steps: list[TraceEvent], begin_s: float, end_s: float) -> dict[str, int]:
+def _missing(events: list[TraceEvent], begin_s: float, end_s: float) -> dict[str, int]:
     """Count the log lines that were dropped between two times, by event name."""
     counts: collections.Counter[str] = collections.Counter()
-    for event in steps:
+    for event in events:
         in_period = begin_s <= event.time_s <= end_s + DROPPED_REPORT_DELAY_S
         if event.name == LINES_DROPPED and in_period:
             counts.update(event.fields.get("counts", {}))
@@ -164,16 +164,16 @@
     return REQUEST_FIELD in event.fields or GENERATION_FIELD in event.fields
 
 
-def _organisation(steps: list[TraceEvent]) -> str:
-    for event in steps:
+def _organisation(events: list[TraceEvent]) -> str:
+    for event in events:
         if event.name == REQUEST_RECEIVED:
             return str(event.fields.get("organisation", ""))
     return ""
 
 
-def _ending(steps: list[TraceEvent]) -> str:
+def _ending(events: list[TraceEvent]) -> str:
     """Return the first ending; endings after a broken stream follow from it."""
-    for event in steps:
+    for event in events:
         if event.name in ENDINGS:
             reason = (
                 event.fields.get("error")
--- a/endivesill/json_log.py
+++ b/endivesill/json_log.py
@@ -44,8 +44,8 @@
 # Returns whether an event means that its request failed (True), completed (False) or
 # neither (None).
 FailureClassifier = Callable[[events.EventKind, Fields], bool | None]
-# A held line: the time since when it is held, its wall time, the kind of event and its
-# fields.
+# A held line: the timer's time at which it was held, its wall time, the kind of event
+# and its fields.
 _HeldLine = tuple[float, float, events.EventKind, Fields]
 
 
--- a/endivesill/kernel.py
+++ b/endivesill/kernel.py
@@ -59,7 +59,7 @@
         self._services[name] = service
 
     def find(self, name: str, kind: type[ServiceT]) -> ServiceT:
-        """Return the service with a name.
+        """Return the service registered under a name.
 
         Raises:
           EndivesillError: there is none, or it is not an instance of `kind`.
@@ -72,7 +72,7 @@
         return service
 
     def has(self, name: str) -> bool:
-        """Return whether a service with this name is registered."""
+        """Return whether a service is registered under a name."""
         return name in self._services
 
     async def start(self) -> None:
--- a/endivesill/load/plan.py
+++ b/endivesill/load/plan.py
@@ -211,7 +211,7 @@
             text = f"unknown section [{section.name}]"
             findings.append(Finding(file, section.line, text))
     if not findings and not (settings and organisations and streams):
-        text = "[load], [organisation NAME] and [stream NAME] sections are required"
+        text = "the sections [load], [organisation NAME] and [stream NAME] are required"
         findings.append(Finding(file, 0, text))
     if findings or settings is None:
         raise errors.FindingsError(sorted(findings))
--- a/endivesill/load/runner.py
+++ b/endivesill/load/runner.py
@@ -91,9 +91,10 @@
 
     def _draw_arrival(self, rng: random.Random, number: int, at_s: float) -> Arrival:
         experiment = self._experiment
-        stream = rng.choices(experiment.streams, [s.share for s in experiment.streams])[
-            0
-        ]
+        stream = rng.choices(
+            experiment.streams,
+            [s.share for s in experiment.streams],
+        )[0]
         organisation = rng.choices(
             experiment.organisations, [o.share for o in experiment.organisations]
         )[0]
@@ -162,7 +163,7 @@
             else:
                 await self._send_generation(session, arrival, record)
         except asyncio.CancelledError:
-            record.reason = "not complete within the drain time"
+            record.reason = "no end within the drain time"
             raise
         finally:
             record.end_s = self._timer.now_s()
--- a/endivesill/porcelain.py
+++ b/endivesill/porcelain.py
@@ -58,7 +58,7 @@
 
     Attributes:
       revision: the fleet's revision that the folder was compared with.
-      folder_revision: the newest revision that applied a folder.
+      folder_revision: the newest revision that changed items of the folder.
       change: the items that differ.
       origins: `FILE:LINE` of each value of the changed items, by key and field.
       before: the fleet's documents of the items that differ, by key.
--- a/endivesill/presentation.py
+++ b/endivesill/presentation.py
@@ -125,11 +125,11 @@
     """Return one line per VM."""
     lines = []
     for row in response["vms"]:
-        next_stop = "may go" if row["may_go"] else f"stays: {'; '.join(row['reasons'])}"
+        stop_text = "may go" if row["may_go"] else f"stays: {'; '.join(row['reasons'])}"
         voter = "voter" if row["voter"] else ""
         lines.append(
             f"{row['name']:<20} {row['data_centre']:<16} {row['state']:<8} "
-            f"{voter:<6} {next_stop}"
+            f"{voter:<6} {stop_text}"
         )
     return "\n".join(lines)
 
