--- a/endivesill/cli.py
+++ b/endivesill/cli.py
@@ -87,7 +87,9 @@
 app.register_install_completion_command(name="--install-completion")
 
 
-def _run(connection: Connection, action: Callable[[OperatorClient], Awaitable[T]]) -> T:
+def _run_with_client(
+    connection: Connection, action: Callable[[OperatorClient], Awaitable[T]]
+) -> T:
     """Run a coroutine function with a client of the fleet."""
     if not connection.server:
         raise errors.EndivesillError("no operator port given; use --server HOST:PORT")
@@ -105,14 +107,16 @@
     return asyncio.run(run())
 
 
-def _show(connection: Connection, response: Any, text: Callable[[Any], str]) -> None:
+def _print_response(
+    connection: Connection, response: Any, format_text: Callable[[Any], str]
+) -> None:
     if connection.output == "json":
         print(presentation.to_json(response))
     else:
-        print(text(response))
+        print(format_text(response))
 
 
-def _report(connection: Connection) -> Callable[[str], None]:
+def _progress_reporter(connection: Connection) -> Callable[[str], None]:
     """Return a function that prints progress messages; silent for JSON output."""
     if connection.output == "json":
         return lambda text: None
@@ -132,7 +136,7 @@
     key: str,
     value: bool,
 ) -> int:
-    response = _run(
+    response = _run_with_client(
         connection,
         lambda client: porcelain.change_item(
             client,
@@ -141,7 +145,7 @@
             change.name,
             number=number,
             wait_s=change.wait_s,
-            report=_report(connection),
+            report=_progress_reporter(connection),
         ),
     )
     return _finish_change(connection, response)
@@ -154,7 +158,7 @@
     """Validate an operators' folder without applying it."""
     checked = porcelain.config_check(folder)
     response = {"items": len(checked.documents), "findings": []}
-    _show(connection, response, lambda a: f"{a['items']} items, no findings")
+    _print_response(connection, response, lambda a: f"{a['items']} items, no findings")
 
 
 @config.command(name="diff")
@@ -162,8 +166,10 @@
     folder: FolderArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> None:
     """Show what an apply of a folder would change."""
-    response = _run(connection, lambda client: porcelain.config_diff(client, folder))
-    _show(connection, response, presentation.difference_text)
+    response = _run_with_client(
+        connection, lambda client: porcelain.config_diff(client, folder)
+    )
+    _print_response(connection, response, presentation.difference_text)
 
 
 @config.command(name="apply")
@@ -183,7 +189,7 @@
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
     """Apply a folder and wait until it is in force on all VMs."""
-    response = _run(
+    response = _run_with_client(
         connection,
         lambda client: porcelain.config_apply(
             client,
@@ -192,7 +198,7 @@
             change.name,
             base_revision=base_revision,
             wait_s=change.wait_s,
-            report=_report(connection),
+            report=_progress_reporter(connection),
         ),
     )
     return _finish_change(connection, response)
@@ -207,10 +213,10 @@
     connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show the configuration and the single changes in force."""
-    response = _run(
+    response = _run_with_client(
         connection, lambda client: porcelain.config_show(client, origin=origin)
     )
-    _show(connection, response, presentation.configuration_text)
+    _print_response(connection, response, presentation.configuration_text)
 
 
 @config.command(name="history")
@@ -220,8 +226,10 @@
     connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show the last changes, the newest first."""
-    response = _run(connection, lambda client: porcelain.config_history(client, limit))
-    _show(connection, response, presentation.history_text)
+    response = _run_with_client(
+        connection, lambda client: porcelain.config_history(client, limit)
+    )
+    _print_response(connection, response, presentation.history_text)
 
 
 def _add_item_command(
@@ -268,15 +276,15 @@
 @vm.command(name="drain")
 def vm_drain(*, connection: Connection = DEFAULT_CONNECTION) -> None:
     """Start a drain (planned stop) of the VM at the first --server that responds."""
-    response = _run(connection, porcelain.vm_drain)
-    _show(connection, response, lambda a: f"{a['vm']}: {a['state']}")
+    response = _run_with_client(connection, porcelain.vm_drain)
+    _print_response(connection, response, lambda a: f"{a['vm']}: {a['state']}")
 
 
 @control.command(name="status")
 def control_status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
     """Show the control replicas and how many voters may be lost."""
-    response = _run(connection, porcelain.control_status)
-    _show(connection, response, presentation.control_text)
+    response = _run_with_client(connection, porcelain.control_status)
+    _print_response(connection, response, presentation.control_text)
 
 
 @control.command(name="add")
@@ -284,7 +292,9 @@
     address: AddressArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> int:
     """Make a replica a voter once it has caught up."""
-    response = _run(connection, lambda client: porcelain.control_add(client, address))
+    response = _run_with_client(
+        connection, lambda client: porcelain.control_add(client, address)
+    )
     return _finish_voters(connection, response)
 
 
@@ -293,7 +303,7 @@
     replica: ReplicaArgument, /, *, connection: Connection = DEFAULT_CONNECTION
 ) -> int:
     """Remove a voter or learner."""
-    response = _run(
+    response = _run_with_client(
         connection, lambda client: porcelain.control_remove(client, replica)
     )
     return _finish_voters(connection, response)
@@ -308,29 +318,29 @@
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
     """Replace a voter or learner by another replica."""
-    response = _run(
+    response = _run_with_client(
         connection, lambda client: porcelain.control_replace(client, replica, address)
     )
     return _finish_voters(connection, response)
 
 
 def _finish_voters(connection: Connection, response: Any) -> int:
-    _show(connection, response, presentation.voters_text)
+    _print_response(connection, response, presentation.voters_text)
     return EXIT_OK if response["done"] else EXIT_NOT_IN_FORCE
 
 
 @fleet.command(name="status")
 def fleet_status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
     """Show the VMs and which of them may be stopped next."""
-    response = _run(connection, porcelain.fleet_status)
-    _show(connection, response, presentation.fleet_text)
+    response = _run_with_client(connection, porcelain.fleet_status)
+    _print_response(connection, response, presentation.fleet_text)
 
 
 @app.command(name="status")
 def status(*, connection: Connection = DEFAULT_CONNECTION) -> None:
     """Show the status summary of the VM that responds."""
-    response = _run(connection, porcelain.status)
-    _show(connection, response, presentation.status_text)
+    response = _run_with_client(connection, porcelain.status)
+    _print_response(connection, response, presentation.status_text)
 
 
 def main() -> None:
--- a/endivesill/explain.py
+++ b/endivesill/explain.py
@@ -141,16 +141,20 @@
     choices = [event for event in own_events if event.name in TARGET_CHOSEN]
     return RequestTrace(
         request_id=request_id,
-        organisation=_organisation(own_events),
+        organisation=_find_organisation(own_events),
         targets=tuple(str(event.fields.get("target", "")) for event in choices),
-        rejected=tuple(_rejected(event.fields.get("rejected")) for event in choices),
-        ending=_ending(own_events),
+        rejected=tuple(
+            _rejected_counts(event.fields.get("rejected")) for event in choices
+        ),
+        ending=_find_ending(own_events),
         steps=tuple(related),
-        missing=_missing(all_events, related[0].time_s, related[-1].time_s),
+        missing=_count_dropped_lines(all_events, related[0].time_s, related[-1].time_s),
     )
 
 
-def _missing(events: list[TraceEvent], begin_s: float, end_s: float) -> dict[str, int]:
+def _count_dropped_lines(
+    events: list[TraceEvent], begin_s: float, end_s: float
+) -> dict[str, int]:
     """Count the log lines that were dropped between two times, by event name."""
     counts: collections.Counter[str] = collections.Counter()
     for event in events:
@@ -164,14 +168,14 @@
     return REQUEST_FIELD in event.fields or GENERATION_FIELD in event.fields
 
 
-def _organisation(events: list[TraceEvent]) -> str:
+def _find_organisation(events: list[TraceEvent]) -> str:
     for event in events:
         if event.name == REQUEST_RECEIVED:
             return str(event.fields.get("organisation", ""))
     return ""
 
 
-def _ending(events: list[TraceEvent]) -> str:
+def _find_ending(events: list[TraceEvent]) -> str:
     """Return the first ending; endings after a broken stream follow from it."""
     for event in events:
         if event.name in ENDINGS:
@@ -185,7 +189,7 @@
     return NO_ENDING
 
 
-def _rejected(value: Any) -> dict[str, int]:
+def _rejected_counts(value: Any) -> dict[str, int]:
     if not isinstance(value, Mapping):
         return {}
     return {str(reason): int(count) for reason, count in value.items()}
@@ -215,17 +219,19 @@
     ]
     lines.append("")
     begin_s = trace.steps[0].time_s
-    lines += [_line(event, begin_s, trace.request_id) for event in trace.steps]
+    lines += [_format_event(event, begin_s, trace.request_id) for event in trace.steps]
     return "\n".join(lines) + "\n"
 
 
-def _line(event: TraceEvent, begin_s: float, request_id: str) -> str:
+def _format_event(event: TraceEvent, begin_s: float, request_id: str) -> str:
     fields_to_show = {k: v for k, v in event.fields.items() if v != request_id}
-    fields = " ".join(f"{key}={_value(value)}" for key, value in fields_to_show.items())
+    fields = " ".join(
+        f"{key}={_format_value(value)}" for key, value in fields_to_show.items()
+    )
     return f"{event.time_s - begin_s:+10.3f} s  {event.name:<20} {fields}".rstrip()
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, (dict, list)):
         return json.dumps(value, separators=(",", ":"))
     return str(value)
--- a/endivesill/http_peers.py
+++ b/endivesill/http_peers.py
@@ -39,7 +39,7 @@
       ssl_context: the TLS context of outgoing calls; None for plain HTTP.
 
     Attributes:
-      running: number of calls that are being handled, by path.
+      in_flight: number of calls that are being handled, by path.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._scheme = scheme
         self._ssl_context = ssl_context
         self._session: aiohttp.ClientSession | None = None
-        self.running: collections.Counter[str] = collections.Counter()
+        self.in_flight: collections.Counter[str] = collections.Counter()
 
     def application(self) -> Starlette:
         """Return the ASGI application that handles calls from peers."""
@@ -75,11 +75,11 @@
             message = json.loads(await request.body())
         except ValueError:
             return Response(status_code=400)
-        self.running[path] += 1
+        self.in_flight[path] += 1
         try:
             return JSONResponse(await handler(message))
         finally:
-            self.running[path] -= 1
+            self.in_flight[path] -= 1
 
     async def call(
         self, address: str, path: str, message: Message, timeout_s: float
--- a/endivesill/load/record.py
+++ b/endivesill/load/record.py
@@ -107,12 +107,12 @@
     stall_s = 0.0
     for record in records:
         if record.first_s is not None:
-            _record(first, record.first_s - record.scheduled_s)
+            _record_duration(first, record.first_s - record.scheduled_s)
         for gap_s in record.gaps_s:
-            _record(gaps, gap_s)
+            _record_duration(gaps, gap_s)
             stall_s += max(0.0, gap_s - stall_threshold_s)
         if record.complete:
-            _record(total, record.end_s - record.scheduled_s)
+            _record_duration(total, record.end_s - record.scheduled_s)
         elif record.status >= 400:
             refused[f"{record.reason} ({record.run})"] += 1
         else:
@@ -158,7 +158,7 @@
     return HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_FIGURES)
 
 
-def _record(histogram: HdrHistogram, duration_s: float) -> None:
+def _record_duration(histogram: HdrHistogram, duration_s: float) -> None:
     histogram.record_value(max(1, int(duration_s * 1_000_000)))
 
 
--- a/endivesill/operators/application.py
+++ b/endivesill/operators/application.py
@@ -223,7 +223,7 @@
     async def _progress(self, request: Request) -> Response:
         revision = int(_number_parameter(request, "revision", 0))
         accepted_for_s = _number_parameter(request, "accepted_for_s", 0.0)
-        progress = await self.progress.of(revision, accepted_for_s)
+        progress = await self.progress.fetch(revision, accepted_for_s)
         return JSONResponse(attrs.asdict(progress))
 
     async def _apply(self, request: Request) -> Response:
--- a/endivesill/operators/progress.py
+++ b/endivesill/operators/progress.py
@@ -58,7 +58,7 @@
         self._membership = membership
         self._control_addresses = control_addresses
 
-    async def of(self, revision: int, accepted_for_s: float) -> Progress:
+    async def fetch(self, revision: int, accepted_for_s: float) -> Progress:
         """Return how far a revision has been rolled out.
 
         After the lease duration and a margin, every VM that has not acknowledged the
--- a/endivesill/peer_port.py
+++ b/endivesill/peer_port.py
@@ -59,8 +59,8 @@
         try:
             await self._timer.wait_for(asyncio.shield(stopping), STOP_TIMEOUT_S)
         except errors.DeadlineExceededError:
-            running = {path: n for path, n in self._transport.running.items() if n}
-            events.emit(CALLS_ABORTED, calls=running)
+            in_flight = {path: n for path, n in self._transport.in_flight.items() if n}
+            events.emit(CALLS_ABORTED, calls=in_flight)
             await self._server.kill()
             await asyncio.gather(stopping, return_exceptions=True)
         await self._transport.close()
