--- a/endivesill/fleet/state.py
+++ b/endivesill/fleet/state.py
@@ -1,7 +1,7 @@
-"""The replicated state of the fleet: configuration and emptied data centres.
+"""Replicated state of the fleet: configuration and evacuated data centres.
 
-The document of a configuration is kept as the operator sent it, so that it can
-be read back unchanged; this module looks only at its version and digest.
+The configuration document is stored as the operator sent it, so that it can be read
+back unchanged. Only its version and digest are interpreted here.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     "REPLACE",
     "SET_EVACUATION",
     "ReplaceOutcome",
-    "current_state",
+    "current_configuration",
     "document_digest",
     "evacuations",
 ]
@@ -28,12 +28,12 @@
 SET_EVACUATION = "evacuation.set"
 CURRENT = "fleet.current_configuration"
 
-STATE_SECTION = "fleet_configuration"
+CONFIGURATION_SECTION = "fleet_configuration"
 EVACUATION_SECTION = "evacuations"
 
 
 class ReplaceOutcome(enum.Enum):
-    """What became of a configuration that an operator sent."""
+    """Outcome of an operator's request to replace the configuration."""
 
     IN_FORCE = "in-force"
     HELD_ALREADY = "held-already"
@@ -42,29 +42,31 @@
 
 
 def document_digest(document: Any) -> str:
-    """Return a digest that is equal for equal JSON values."""
+    """Return a SHA-256 digest that is equal for equal JSON values."""
     text = json.dumps(document, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 @command(REPLACE)
-def replace_state(state: State, message: Message, context: CommandContext) -> Message:
-    """Take a configuration if its version is the highest.
+def replace_configuration(
+    state: State, message: Message, context: CommandContext
+) -> Message:
+    """Replace the configuration if the version is higher than the current one.
 
     Args:
       state: the replicated state.
       message: `{"version", "digest", "document"}`.
-      context: where the command stands in the log.
+      context: the position of the command in the log.
 
     Returns:
       `{"outcome", "version"}`: a `ReplaceOutcome` and the version in force.
     """
-    section = state.section(STATE_SECTION)
-    held = section.get("version")
-    if held is None or message["version"] > held:
+    section = state.section(CONFIGURATION_SECTION)
+    current_version = section.get("version")
+    if current_version is None or message["version"] > current_version:
         section.update(message, index=context.index)
         outcome = ReplaceOutcome.IN_FORCE
-    elif message["version"] < held:
+    elif message["version"] < current_version:
         outcome = ReplaceOutcome.SUPERSEDED
     elif message["digest"] == section["digest"]:
         outcome = ReplaceOutcome.HELD_ALREADY
@@ -75,30 +77,30 @@
 
 @command(SET_EVACUATION)
 def set_evacuation(state: State, message: Message, context: CommandContext) -> Message:
-    """Empty a data centre or take it back.
+    """Evacuate a data centre or end its evacuation.
 
     Args:
       state: the replicated state.
       message: `{"data_centre", "evacuated"}`.
-      context: where the command stands in the log.
+      context: the position of the command in the log.
     """
     section = state.section(EVACUATION_SECTION)
-    emptied = section.setdefault("data_centres", {})
+    evacuated = section.setdefault("data_centres", {})
     if message["evacuated"]:
-        emptied[message["data_centre"]] = context.index
+        evacuated[message["data_centre"]] = context.index
     else:
-        emptied.pop(message["data_centre"], None)
+        evacuated.pop(message["data_centre"], None)
     section["index"] = context.index
     return {}
 
 
-def current_state(state: State) -> Message | None:
+def current_configuration(state: State) -> Message | None:
     """Return `{"version", "digest", "document", "index"}`, or None without one."""
-    return state.section(STATE_SECTION) or None
+    return state.section(CONFIGURATION_SECTION) or None
 
 
 def evacuations(state: State) -> tuple[int, list[str]]:
-    """Return the index of the last change and the emptied data centres."""
+    """Return the log index of the last change and the evacuated data centres."""
     section = state.section(EVACUATION_SECTION)
     return section.get("index", 0), sorted(section.get("data_centres", {}))
 
@@ -106,4 +108,4 @@
 @query(CURRENT)
 def query_current(state: State, message: Message) -> Message:
     """Return the configuration in force; an empty object without one."""
-    return current_state(state) or {}
+    return current_configuration(state) or {}
--- /dev/null
+++ b/endivesill/fleet/sync_client.py
@@ -0,0 +1,217 @@
+"""An entry's side of the fleet synchronisation."""
+
+from __future__ import annotations
+
+import itertools
+import uuid
+from collections.abc import Callable
+from typing import Any
+
+import attrs
+
+from endivesill import errors, events
+from endivesill.fleet.events import LEADER_LOST, LEADER_REACHED
+from endivesill.fleet.load import EngineLoad, loads_from_rows, loads_to_rows
+from endivesill.fleet.model import EngineInfo
+from endivesill.fleet.packing import unpack_document
+from endivesill.fleet.shares import LEASE_DURATION_S, ShareLease
+from endivesill.peers import Message, PeerTransport
+from endivesill.signals import Signal
+from endivesill.timer import TimerService
+
+__all__ = ["SYNC_PATH", "FleetSyncClient", "FleetView"]
+
+SYNC_PATH = "/fleet/sync"
+
+# The leader replies within `LONG_POLL_S`; a longer delay means that it hangs, is
+# partitioned or has stopped.
+SYNC_TIMEOUT_S = 0.45
+RETRY_S = 0.05
+MAX_RETRY_S = 0.2
+# Time without a reply after which the loss of the leader is logged.
+LEADER_LOST_AFTER_S = 1.0
+
+
+NO_LEASE = ShareLease(0.0, 0.0)
+
+
+@attrs.define
+class FleetView:
+    """An entry's view of the fleet.
+
+    Attributes:
+      version: version of the configuration; None before there is one.
+      document: the configuration as the operator sent it.
+      evacuation_index: log index of the last change of evacuations.
+      evacuated: data centres whose targets get no requests.
+      list_stamp: stamp of the engine list.
+      engines: the engines by incarnation.
+      remote_loads: load of the other entries, by incarnation.
+      lease: this entry's share of the fleet-wide limits.
+      entry_count: how many entries hold a lease.
+      confirmed_at_s: when the view was last known to be current.
+    """
+
+    version: int | None = None
+    document: Any = None
+    evacuation_index: int = -1
+    evacuated: frozenset[str] = frozenset()
+    list_stamp: list[int] = attrs.Factory(lambda: [0, 0])
+    engines: dict[str, EngineInfo] = attrs.Factory(dict)
+    remote_loads: dict[str, EngineLoad] = attrs.Factory(dict)
+    lease: ShareLease = NO_LEASE
+    entry_count: int = 1
+    confirmed_at_s: float = float("-inf")
+
+
+class FleetSyncClient:
+    """Keeps a `FleetView` up to date by long-polling the leader.
+
+    Args:
+      timer: the timer service.
+      transport: calls the control VMs.
+      seeds: peer addresses of some control VMs.
+      own_loads: returns this entry's load by incarnation.
+      on_update: called after each reply with the names of the updated parts.
+
+    Attributes:
+      view: the view of the fleet.
+      entry_id: identifies this start of the entry.
+      leader: peer address of the leader; None while unknown.
+      leader_lost: notified when the leader does not reply.
+    """
+
+    def __init__(
+        self,
+        timer: TimerService,
+        transport: PeerTransport,
+        seeds: tuple[str, ...],
+        own_loads: Callable[[], dict[str, EngineLoad]],
+        on_update: Callable[[set[str]], None],
+    ) -> None:
+        self._timer = timer
+        self._transport = transport
+        self._seeds = seeds
+        self._control_addresses: list[str] = []
+        self._own_loads = own_loads
+        self._on_update = on_update
+        self._grants_seen = 0
+        self.entry_id = uuid.uuid4().hex[:12]
+        self.leader: str | None = None
+        self._attempts = itertools.count()
+        self._connected = False
+        self.leader_lost = Signal()
+        self.view = FleetView()
+
+    def use_seeds(self, seeds: tuple[str, ...]) -> None:
+        """Replace the seeds; control VMs learnt from the leader are kept."""
+        self._seeds = seeds
+
+    async def run(self) -> None:
+        """Poll the leader until cancelled."""
+        retry_s = RETRY_S
+        while True:
+            address = self.leader or self._next_address()
+            sent_s = self._timer.now_s()
+            try:
+                reply = await self._transport.call(
+                    address, SYNC_PATH, self._sync_request(), SYNC_TIMEOUT_S
+                )
+            except errors.PeerUnreachableError as error:
+                self._note_unreachable(address, str(error))
+                await self._timer.sleep(retry_s)
+                retry_s = min(2 * retry_s, MAX_RETRY_S)
+                continue
+            if "share" in reply:
+                retry_s = RETRY_S
+                self._apply(address, reply, sent_s)
+                continue
+            leader = reply.get("leader")
+            self.leader = leader if leader != address else None
+            if self.leader is None:
+                self._note_unreachable(address, "does not lead")
+            await self._timer.sleep(RETRY_S)
+
+    def note_grant(self, number: int) -> None:
+        """Record that this entry's load now includes a grant."""
+        self._grants_seen = max(self._grants_seen, number)
+
+    def load_report(self) -> Message:
+        """Return this entry's load as a part of messages to the leader."""
+        return {
+            "entry": self.entry_id,
+            "grants_seen": self._grants_seen,
+            "loads": loads_to_rows(self._own_loads()),
+        }
+
+    async def deregister(self) -> None:
+        """Tell the leader that this entry stops; a failure is logged."""
+        if self.leader is None:
+            return
+        message = {**self._sync_request(), "leaving": True}
+        try:
+            await self._transport.call(self.leader, SYNC_PATH, message, SYNC_TIMEOUT_S)
+        except errors.PeerUnreachableError as error:
+            # The lease expires anyway.
+            events.emit(LEADER_LOST, address=self.leader, reason=str(error))
+
+    def _next_address(self) -> str:
+        addresses = list(dict.fromkeys([*self._control_addresses, *self._seeds]))
+        return addresses[next(self._attempts) % len(addresses)]
+
+    def _sync_request(self) -> Message:
+        view = self.view
+        return {
+            **self.load_report(),
+            "version": view.version,
+            "evacuations": view.evacuation_index,
+            "list": view.list_stamp,
+            "share": view.lease.share_at(self._timer.now_s()),
+        }
+
+    def _note_unreachable(self, address: str, reason: str) -> None:
+        self.leader = None
+        self.leader_lost.notify()
+        unreachable_s = self._timer.now_s() - self.view.confirmed_at_s
+        if self._connected and unreachable_s > LEADER_LOST_AFTER_S:
+            self._connected = False
+            events.emit(
+                LEADER_LOST,
+                address=address,
+                reason=reason,
+                silent_s=round(unreachable_s, 3),
+                version=self.view.version,
+            )
+
+    def _apply(self, address: str, reply: Message, sent_s: float) -> None:
+        view = self.view
+        updated = {"loads"}
+        if not self._connected:
+            self._connected = True
+            events.emit(LEADER_REACHED, address=address, term=reply["term"])
+        state = reply.get("state")
+        # A leader that lags behind must not roll back the version.
+        if state and (view.version is None or state["version"] > view.version):
+            view.document = unpack_document(state["packed"])
+            view.version = state["version"]
+            updated.add("state")
+        evacuated = reply.get("evacuations")
+        if evacuated and evacuated["index"] > view.evacuation_index:
+            view.evacuation_index = evacuated["index"]
+            view.evacuated = frozenset(evacuated["data_centres"])
+            updated.add("evacuations")
+        engine_list = reply.get("list")
+        if engine_list and engine_list["stamp"] > view.list_stamp:
+            view.list_stamp = engine_list["stamp"]
+            engines = [EngineInfo(**row) for row in engine_list["engines"]]
+            view.engines = {engine.incarnation: engine for engine in engines}
+            updated.add("engines")
+        view.remote_loads = loads_from_rows(reply["loads"])
+        # Counted from the request, so that the lease expires here before it does at
+        # the leader.
+        view.lease = ShareLease(reply["share"], sent_s + LEASE_DURATION_S)
+        view.entry_count = reply["entries"]
+        view.confirmed_at_s = sent_s
+        self.leader = address
+        self._control_addresses = reply["controls"]
+        self._on_update(updated)
--- a/endivesill/forwarding/retry_budget.py
+++ b/endivesill/forwarding/retry_budget.py
@@ -1,4 +1,4 @@
-"""Repeats allowed to this entry out of the bound for all entries."""
+"""Limits this entry's retries to its share of a fleet-wide bound."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 __all__ = ["RetryBudget"]
 
-# Kept back from the bound: windows of different entries do not begin together.
-SAFETY_SHARE = 0.8
+# Fraction of the bound that is used, since the windows of different entries do not
+# start together.
+BUDGET_SAFETY_FRACTION = 0.8
 
 
 class RetryBudget:
-    """Counts requests and repeats to each service over a sliding window.
+    """Counts requests and retries to each service over a sliding window.
 
     Args:
       timer: the timer service.
-      ratio: repeats allowed for each request.
-      slack: repeats allowed besides to all entries together, in a window.
-      window_s: the window.
-      share: returns the part of the slack that this entry may use now.
+      ratio: retries allowed per request.
+      slack: further retries allowed per window to all entries together.
+      window_s: length of the window.
+      share: returns this entry's current share of the slack, from 0 to 1.
     """
 
     def __init__(
@@ -38,27 +39,27 @@
         self._window_s = window_s
         self._share = share
         self._requests: dict[str, collections.deque[float]] = {}
-        self._repeats: dict[str, collections.deque[float]] = {}
+        self._retries: dict[str, collections.deque[float]] = {}
 
     def note_request(self, service: str) -> None:
-        """Count the first sending of a request."""
-        self._entries(self._requests, service).append(self._timer.now_s())
+        """Count a request, but not its retries."""
+        self._recent(self._requests, service).append(self._timer.now_s())
 
-    def take(self, service: str) -> bool:
-        """Take one repeat; False if the budget is used up."""
-        repeats = self._entries(self._repeats, service)
-        requests = len(self._entries(self._requests, service))
+    def try_acquire(self, service: str) -> bool:
+        """Take one retry from the budget; False if it is exhausted."""
+        retries = self._recent(self._retries, service)
+        requests = len(self._recent(self._requests, service))
         allowed = self._ratio * requests + self._share() * self._slack
-        if len(repeats) + 1 > SAFETY_SHARE * allowed:
+        if len(retries) + 1 > BUDGET_SAFETY_FRACTION * allowed:
             return False
-        repeats.append(self._timer.now_s())
+        retries.append(self._timer.now_s())
         return True
 
-    def _entries(
+    def _recent(
         self, table: dict[str, collections.deque[float]], service: str
     ) -> collections.deque[float]:
         times_s = table.setdefault(service, collections.deque())
-        oldest_s = self._timer.now_s() - self._window_s
-        while times_s and times_s[0] < oldest_s:
+        window_start_s = self._timer.now_s() - self._window_s
+        while times_s and times_s[0] < window_start_s:
             times_s.popleft()
         return times_s
