--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -1,7 +1,8 @@
-"""The services of a VM, wired by its roles.
+"""Wiring of the services of a VM according to its roles.
 
-Services start in the order in which they are added here and stop in reverse:
-the callers' port opens last and closes first.
+Services start in the order in which they are added here and stop in reverse order.
+The callers' port thus opens after the services that it depends on and closes before
+them.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from endivesill.entry.settings import EntrySettings
 from endivesill.http_peers import HttpPeerTransport
 from endivesill.kernel import Kernel, Service
-from endivesill.keys import KeyFileWatch, KeyRing
+from endivesill.keys import KeyFileWatcher, KeyRing
 from endivesill.membership.datagrams import UdpDatagramTransport
 from endivesill.membership.leaving import LeavingTargets
 from endivesill.membership.service import SwimMembership
@@ -51,54 +52,54 @@
 
 
 class MonitorSink:
-    """Takes what the polls of targets find.
+    """Forwards the results of target polls to the services that use them.
 
     Args:
-      lender: lends by the load of the targets.
-      leaving: keeps which targets are leaving.
+      credit_server: allocates credit by the load of the targets.
+      leaving: tracks the targets that are leaving.
     """
 
-    def __init__(self, lender: CreditServer, leaving: LeavingTargets) -> None:
-        self._lender = lender
+    def __init__(self, credit_server: CreditServer, leaving: LeavingTargets) -> None:
+        self._credit_server = credit_server
         self._leaving = leaving
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
-        """Take a load report."""
+        """Forward a load report and the departure that it announces."""
         self._leaving.apply_load_report(
             target.name, report.boot_id, report.leaving_in_s
         )
-        self._lender.observe_load(target, report)
+        self._credit_server.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
-        """Note that the target does not answer."""
-        self._lender.observe_silence(target)
+        """Forward that a target does not respond to polls."""
+        self._credit_server.observe_silence(target)
 
     def observe_cache_cleared(self, target: Target) -> None:
-        """Note that the target has lost its prefix cache."""
-        self._lender.observe_cache_cleared(target)
+        """Forward that a target has cleared its prefix cache."""
+        self._credit_server.observe_cache_cleared(target)
 
 
 class MonitorService(Service):
-    """The polls of the targets that this VM is home of.
+    """Polls the targets that this VM owns.
 
     Args:
       kernel: the process's kernel.
-      lender: lends by what the polls find.
+      credit_server: allocates credit by the results of the polls.
       prefixes: the index of cached prefixes.
       configuration: the source of the configuration.
-      membership: who is whose home.
+      membership: decides which VM owns which target.
     """
 
     def __init__(
         self,
         kernel: Kernel,
-        lender: CreditServer,
+        credit_server: CreditServer,
         prefixes: PrefixIndex,
         configuration: NamedConfigurationSource,
         membership: SwimMembership,
     ) -> None:
         self._kernel = kernel
-        self._lender = lender
+        self._credit_server = credit_server
         self._prefixes = prefixes
         self._configuration = configuration
         self._membership = membership
@@ -106,7 +107,7 @@
         self._monitor: TargetMonitor | None = None
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         timer = self._kernel.timer
         self._client = TargetClient(timer)
         self._monitor = TargetMonitor(
@@ -114,7 +115,7 @@
             self._configuration.current,
             EngineAdapter(self._client, timer),
             self._membership.is_home,
-            MonitorSink(self._lender, self._membership.leaving_targets),
+            MonitorSink(self._credit_server, self._membership.leaving_targets),
             self._prefixes,
         )
         await self._monitor.start()
@@ -128,11 +129,11 @@
 
 
 def build_kernel(settings: Settings, timer: TimerService) -> Kernel:
-    """Wire the services that the VM's roles need.
+    """Create the services for the VM's roles and add them to a kernel.
 
     Raises:
-      FindingsError: the key file is wrong.
-      StorageError: another process holds the data folder.
+      FindingsError: the key file or a TLS file is invalid.
+      StorageError: another process uses the data folder.
     """
     kernel = Kernel(timer)
     vm = settings.vm
@@ -144,8 +145,8 @@
     )
     source = NamedConfigurationSource(kernel)
     kernel.add("peer-port", PeerPort(timer, transport, **server_options(tls)))
-    datagrams = UdpDatagramTransport(vm.peer_address, keys.texts())
-    keys.subscribe(lambda: datagrams.replace_keys(keys.texts()))
+    datagrams = UdpDatagramTransport(vm.peer_address, keys.valid_keys())
+    keys.subscribe(lambda: datagrams.replace_keys(keys.valid_keys()))
     membership = SwimMembership(
         kernel,
         vm,
@@ -169,8 +170,8 @@
     if "entry" in vm.roles:
         _add_entry(kernel, settings, keys, metrics, transport, source, membership)
     _add_orders(kernel, settings, membership, source, transport, drain)
-    kernel.add("vm-list", _vm_list(kernel, settings, membership, source, drain))
-    kernel.add("key-file", KeyFileWatch(timer, keys, vm.key_file))
+    kernel.add("vm-list", _vm_list_watch(kernel, settings, membership, source, drain))
+    kernel.add("key-file", KeyFileWatcher(timer, keys, vm.key_file))
     _add_operators(kernel, settings, keys, metrics, transport, membership)
     return kernel
 
@@ -236,26 +237,28 @@
 ) -> None:
     timer = kernel.timer
     instance_id = membership.own_record.instance_id
-    lender = CreditServer(
+    credit_server = CreditServer(
         timer, source.current, instance_id, membership, transport, source
     )
-    wallet = CreditClient(
-        timer, source.current, instance_id, lender, membership, transport
+    credit_client = CreditClient(
+        timer, source.current, instance_id, credit_server, membership, transport
     )
     prefixes = PrefixIndex()
     router = Router(
         timer,
         source.current,
         source=source,
-        credit_client=wallet,
+        credit_client=credit_client,
         prefixes=prefixes,
         is_leaving=membership.leaving_targets.is_leaving,
         entry_name=settings.vm.name,
         data_centre=settings.vm.data_centre,
         metrics=metrics,
     )
-    kernel.add("monitor", MonitorService(kernel, lender, prefixes, source, membership))
-    kernel.add("wallet", wallet)
+    kernel.add(
+        "monitor", MonitorService(kernel, credit_server, prefixes, source, membership)
+    )
+    kernel.add("wallet", credit_client)
     kernel.add("router", router)
     drain = kernel.find("drain", DrainService)
     tls = settings.section(TlsSettings)
@@ -335,9 +338,10 @@
 
 
 def _is_gone(membership: SwimMembership, instance_id: str) -> bool:
-    """Tell whether a VM instance is known to be gone.
+    """Return whether membership knows that a VM instance is gone.
 
-    One that was never heard of is not: this VM may have joined just now.
+    An unknown instance does not count as gone, since this VM may have joined only
+    recently.
     """
     return any(
         vm.instance_id == instance_id and vm.state is VmState.GONE
@@ -345,7 +349,7 @@
     )
 
 
-def _vm_list(
+def _vm_list_watch(
     kernel: Kernel,
     settings: Settings,
     membership: SwimMembership,
