--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -158,7 +158,7 @@
         head = await connection.head()
         await connection.read_all()
         assert head.status == 200, head
-        connection.end()
+        connection.end_exchange()
         count += 1
     connection.abort()
     return count
--- a/bench/platform_soak_callers.py
+++ b/bench/platform_soak_callers.py
@@ -113,7 +113,7 @@
                 )
             except (UpstreamError, errors.DeadlineExceededError):
                 # No whole answer; the record says so with its status 0.
-                pool.forget(proxy.address)
+                pool.close_idle(proxy.address)
             record.ended_s = self._timer.now_s()
             await self._timer.sleep(PAUSE_S)
 
--- a/bench/platform_soak_targets.py
+++ b/bench/platform_soak_targets.py
@@ -147,7 +147,7 @@
     ) -> None:
         exchange.start(200, [name, SEAL, (b"Content-Type", b"text/event-stream")])
         for number in range(1, EVENTS + 1):
-            if exchange.gone.is_set():
+            if exchange.disconnected.is_set():
                 return
             exchange.send(_event(attempt, number))
             await asyncio.sleep(EVENT_PAUSE_S)
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -55,7 +55,7 @@
     SendFailure.NO_CONNECTION: Failure.NO_CONNECTION,
     SendFailure.NOT_STARTED: Failure.TARGET_LEFT,
     SendFailure.BROKEN: Failure.BROKEN,
-    SendFailure.FOREIGN_ANSWER: Failure.FOREIGN_ANSWER,
+    SendFailure.FOREIGN_RESPONSE: Failure.FOREIGN_ANSWER,
 }
 
 
@@ -126,12 +126,12 @@
                 self._pool,
                 target.info.address,
                 lambda: self._encode(call, target, backup, resume_from, last_event_id),
-                longest_idle_s=None if call.is_idempotent else UNREPEATABLE_IDLE_S,
+                max_idle_s=None if call.is_idempotent else UNREPEATABLE_IDLE_S,
                 # The list may have changed while the connection was set up.
                 may_start=lambda: self._table.may_have_work(target),
-                started=call.note_sent,
-                belongs=lambda head: self._belongs(call, target, head),
-                foreign_limit=SKIPPED_ANSWERS_LIMIT,
+                on_started=call.note_sent,
+                is_own_response=lambda head: self._belongs(call, target, head),
+                max_foreign_responses=SKIPPED_ANSWERS_LIMIT,
                 no_body=call.exchange.method == "HEAD",
             )
         except SendError as error:
--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -157,7 +157,7 @@
         exchange = call.exchange
         task = asyncio.current_task()
         assert task is not None
-        if exchange.gone.is_set():
+        if exchange.disconnected.is_set():
             self._log.ended(call, "caller-gone", "before it was placed")
             exchange.abort()
             return
@@ -167,7 +167,7 @@
             if call.route.kind is not RequestKind.UNSAFE or not call.may_have_run:
                 task.cancel()
 
-        exchange.on_gone = leave
+        exchange.on_disconnect = leave
         try:
             left_s = call.end_s - self._timer.now_s()
             await self._timer.wait_for(self._serve(call), left_s)
@@ -177,7 +177,7 @@
             self._log.ended(call, "caller-gone", "")
             raise
         finally:
-            exchange.on_gone = None
+            exchange.on_disconnect = None
 
     async def _serve(self, call: Call) -> None:
         self._budget.note_request(call.service.name)
@@ -325,10 +325,10 @@
         failure = error.failure
         if failure is Failure.NO_CONNECTION:
             self._table.note_no_connection(target, str(error))
-            self._pool.forget(target.info.address)
+            self._pool.close_idle(target.info.address)
         elif failure is Failure.WRONG_TARGET:
             self._table.note_replaced(target)
-            self._pool.forget(target.info.address)
+            self._pool.close_idle(target.info.address)
         elif failure is not Failure.TARGET_LEFT:
             self._table.note_outcome(target, good=False)
         self._log.attempt_failed(call, target, str(error))
@@ -343,9 +343,9 @@
     ) -> None:
         """Give a request its final answer: not run, unknown, or a broken stream."""
         exchange = call.exchange
-        if exchange.answered:
+        if exchange.head_sent:
             self._log.ended(call, "broken", reason, **fields)
-            exchange.on_gone = None
+            exchange.on_disconnect = None
             exchange.abort()
         elif call.may_have_run:
             exchange.respond(status, [])
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -149,7 +149,7 @@
 
     def _not_a_stream(self, attempt: Attempt) -> Attempt:
         """Return an attempt whose answer is to be passed on as a whole."""
-        if self._call.exchange.answered:
+        if self._call.exchange.head_sent:
             self._pool.release(attempt.connection)
             raise StreamBrokenError(f"status {attempt.answer.status} on a resume")
         return attempt
@@ -278,7 +278,7 @@
 
     async def _relay(self, run: _Run, attempt: Attempt) -> None:
         exchange = self._call.exchange
-        if not exchange.answered:
+        if not exchange.head_sent:
             exchange.start(200, strip_hop_by_hop(attempt.head.headers))
         splitter = EventSplitter()
         while data := await attempt.connection.read():
--- a/endivesill/http1/client.py
+++ b/endivesill/http1/client.py
@@ -275,13 +275,13 @@
             parts.append(part)
         return b"".join(parts)
 
-    def skip_answer(self) -> None:
+    def skip_response(self) -> None:
         """Drop a complete answer to another request; the next one is read then."""
         self._answers.popleft()
         if not self._answers:
             self._answers.append(_Answer())
 
-    def end(self) -> bool:
+    def end_exchange(self) -> bool:
         """End the exchange; return whether the connection can be used again."""
         if not self._busy:
             return self.is_usable(float("inf"))
@@ -301,12 +301,12 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def is_usable(self, longest_idle_s: float) -> bool:
+    def is_usable(self, max_idle_s: float) -> bool:
         """Tell whether an idle connection may take another request."""
         if self._lost or not self.reusable or self.transport.is_closing():
             return False
         idle_s = self._timer.now_s() - self.idle_since_s
-        return idle_s < min(longest_idle_s, self.idle_limit_s)
+        return idle_s < min(max_idle_s, self.idle_limit_s)
 
 
 class ConnectionPool:
@@ -315,36 +315,36 @@
     Args:
       timer: the timer service.
       connect_timeout_s: bound of the set-up of a connection.
-      longest_idle_s: age from which an idle connection is not used again.
+      max_idle_s: age from which an idle connection is not used again.
     """
 
     def __init__(
-        self, timer: TimerService, connect_timeout_s: float, longest_idle_s: float
+        self, timer: TimerService, connect_timeout_s: float, max_idle_s: float
     ) -> None:
         self._timer = timer
         self._connect_timeout_s = connect_timeout_s
-        self._longest_idle_s = longest_idle_s
+        self._max_idle_s = max_idle_s
         self._idle: dict[str, list[UpstreamConnection]] = {}
         self._tls: ssl.SSLContext | None = None
-        self.connects = 0
+        self.connect_attempts = 0
 
     async def acquire(
-        self, address: str, longest_idle_s: float | None = None
+        self, address: str, max_idle_s: float | None = None
     ) -> UpstreamConnection:
         """Return a connection to a peer, an idle one or a new one.
 
         Args:
           address: the peer's HOST:PORT, or `https://HOST:PORT` for TLS.
-          longest_idle_s: an idle connection older than this is left alone; 0 for a
+          max_idle_s: an idle connection older than this is left alone; 0 for a
             new one, None for the pool's own limit.
 
         Raises:
           UpstreamError: no connection could be set up; nothing was sent.
         """
-        limit_s = self._longest_idle_s if longest_idle_s is None else longest_idle_s
+        limit_s = self._max_idle_s if max_idle_s is None else max_idle_s
         idle = self._idle.get(address, [])
         # The one that was used last is the last one.
-        while idle and not idle[-1].is_usable(self._longest_idle_s):
+        while idle and not idle[-1].is_usable(self._max_idle_s):
             idle.pop().abort()
         if idle and idle[-1].is_usable(limit_s):
             return idle.pop()
@@ -353,7 +353,7 @@
     async def _connect(self, address: str) -> UpstreamConnection:
         tls = self._tls_context() if address.startswith(TLS_PREFIX) else None
         host, _, port = address.removeprefix(TLS_PREFIX).rpartition(":")
-        self.connects += 1
+        self.connect_attempts += 1
         loop = asyncio.get_running_loop()
         connecting = loop.create_connection(
             lambda: UpstreamConnection(self._timer, address),
@@ -393,10 +393,10 @@
 
     def release(self, connection: UpstreamConnection) -> None:
         """End a connection's exchange and keep it if it is clean."""
-        if connection.end():
+        if connection.end_exchange():
             self._idle.setdefault(connection.address, []).append(connection)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.abort()
@@ -406,7 +406,7 @@
         for address in list(self._idle):
             kept = []
             for connection in self._idle[address]:
-                if connection.is_usable(self._longest_idle_s):
+                if connection.is_usable(self._max_idle_s):
                     kept.append(connection)
                 else:
                     connection.abort()
@@ -418,4 +418,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
--- a/endivesill/http1/exchange.py
+++ b/endivesill/http1/exchange.py
@@ -48,10 +48,10 @@
       headers: the request's headers as they were sent.
       body: the whole body.
       received_s: when the last byte of the request was read.
-      gone: set once the caller has closed the connection or it broke.
-      on_gone: called when that happens, if set.
-      answered: whether a head was written.
-      close_after: whether the connection ends with this answer.
+      disconnected: set once the caller has closed the connection or it broke.
+      on_disconnect: called when that happens, if set.
+      head_sent: whether a head was written.
+      closes_connection: whether the connection ends with this answer.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
         self.headers = headers
         self.body = body
         self.received_s = connection.listener.timer.now_s()
-        self.gone = asyncio.Event()
-        self.on_gone: Callable[[], Any] | None = None
-        self.answered = False
+        self.disconnected = asyncio.Event()
+        self.on_disconnect: Callable[[], Any] | None = None
+        self.head_sent = False
         self.finished = False
-        self.close_after = not keep_alive
+        self.closes_connection = not keep_alive
 
     def header(self, name: bytes) -> bytes:
         """Return the first value of a request header, or empty bytes."""
@@ -103,7 +103,7 @@
     def abort(self) -> None:
         """Break the connection, so that no answer looks complete."""
         self.finished = True
-        self.close_after = True
+        self.closes_connection = True
         self.connection.abort()
 
     async def drain(self) -> None:
@@ -111,15 +111,15 @@
         await self.connection.writable.wait()
 
     def _head(self, status: int, headers: Headers) -> bytes:
-        self.answered = True
+        self.head_sent = True
         if self.connection.listener.closing:
-            self.close_after = True
-        if self.close_after:
+            self.closes_connection = True
+        if self.closes_connection:
             headers = [*headers, (b"Connection", b"close")]
         return encode_head(status_line(status), headers)
 
     def _write(self, data: bytes) -> None:
-        if not self.gone.is_set():
+        if not self.disconnected.is_set():
             self.connection.transport.write(data)
 
 
--- a/endivesill/http1/sending.py
+++ b/endivesill/http1/sending.py
@@ -25,7 +25,7 @@
     NO_CONNECTION = "no-connection"
     NOT_STARTED = "not-started"
     BROKEN = "broken"
-    FOREIGN_ANSWER = "foreign-answer"
+    FOREIGN_RESPONSE = "foreign-answer"
 
     @property
     def not_run(self) -> bool:
@@ -50,11 +50,11 @@
     address: str,
     encode: Callable[[], bytes],
     *,
-    longest_idle_s: float | None = None,
+    max_idle_s: float | None = None,
     may_start: Callable[[], bool] = lambda: True,
-    started: Callable[[], None] = lambda: None,
-    belongs: Callable[[ResponseHead], bool] = lambda head: True,
-    foreign_limit: int = 0,
+    on_started: Callable[[], None] = lambda: None,
+    is_own_response: Callable[[ResponseHead], bool] = lambda head: True,
+    max_foreign_responses: int = 0,
     no_body: bool = False,
 ) -> tuple[UpstreamConnection, ResponseHead]:
     """Send a request and wait for the head of its answer.
@@ -63,12 +63,12 @@
       pool: connections to peers.
       address: the peer, as `ConnectionPool.acquire` takes it.
       encode: returns the request's bytes; called once connected.
-      longest_idle_s: an idle connection older than this is not used; 0 for a new
+      max_idle_s: an idle connection older than this is not used; 0 for a new
         one, None for the pool's own limit.
       may_start: asked once connected, before the first byte goes out.
-      started: called when the request may have reached the peer.
-      belongs: tells whether an answer is this request's.
-      foreign_limit: whole answers to others that are skipped before its own.
+      on_started: called when the request may have reached the peer.
+      is_own_response: tells whether an answer is this request's.
+      max_foreign_responses: whole answers to others that are skipped before its own.
       no_body: whether the answer has no body whatever its head says.
 
     Returns:
@@ -79,7 +79,7 @@
       SendError: there is no answer.
     """
     try:
-        connection = await pool.acquire(address, longest_idle_s)
+        connection = await pool.acquire(address, max_idle_s)
     except UpstreamError as error:
         raise SendError(SendFailure.NO_CONNECTION, str(error)) from None
     try:
@@ -90,32 +90,34 @@
             connection.send(data, no_body=no_body)
         except UpstreamError as error:
             raise SendError(SendFailure.NO_CONNECTION, str(error)) from None
-        started()
-        return connection, await _own_head(connection, belongs, foreign_limit)
+        on_started()
+        return connection, await _read_own_head(
+            connection, is_own_response, max_foreign_responses
+        )
     except BaseException:
         pool.release(connection)
         raise
 
 
-async def _own_head(
+async def _read_own_head(
     connection: UpstreamConnection,
-    belongs: Callable[[ResponseHead], bool],
-    foreign_limit: int,
+    is_own_response: Callable[[ResponseHead], bool],
+    max_foreign_responses: int,
 ) -> ResponseHead:
     """Skip late answers to others that stand before this request's own."""
     skipped = 0
     while True:
         try:
             head = await connection.head()
-            if belongs(head):
+            if is_own_response(head):
                 return head
-            if skipped == foreign_limit:
+            if skipped == max_foreign_responses:
                 detail = f"{skipped + 1} answers to other requests"
-                raise SendError(SendFailure.FOREIGN_ANSWER, detail)
+                raise SendError(SendFailure.FOREIGN_RESPONSE, detail)
             await connection.read_all()
         except SendError:
             raise
         except UpstreamError as error:
             raise SendError(SendFailure.BROKEN, str(error)) from None
         skipped += 1
-        connection.skip_answer()
+        connection.skip_response()
--- a/endivesill/http1/server.py
+++ b/endivesill/http1/server.py
@@ -125,10 +125,10 @@
 
     def _note_gone(self) -> None:
         for exchange in (self.current, *self._pending):
-            if exchange is not None and not exchange.gone.is_set():
-                exchange.gone.set()
-                if exchange.on_gone is not None:
-                    exchange.on_gone()
+            if exchange is not None and not exchange.disconnected.is_set():
+                exchange.disconnected.set()
+                if exchange.on_disconnect is not None:
+                    exchange.on_disconnect()
 
     # httptools callbacks.
 
@@ -208,18 +208,18 @@
         self.current = exchange
         if not self._lost:
             self.transport.resume_reading()
-        self.listener.active += 1
+        self.listener.active_exchanges += 1
         try:
             await self.listener.handler(exchange)
         except Exception as error:
             events.emit(events.TASK_FAILED, task="http-handler", error=repr(error))
         finally:
-            self.listener.active -= 1
+            self.listener.active_exchanges -= 1
             self.current = None
             self.idle_since_s = self.listener.timer.now_s()
         if not exchange.finished:
             self.abort()
-        if exchange.close_after:
+        if exchange.closes_connection:
             self._lost = True
 
     def _refuse(self, status: int, reason: str) -> None:
@@ -273,7 +273,7 @@
 
     Attributes:
       connections: the open connections.
-      active: how many exchanges are being answered.
+      active_exchanges: how many exchanges are being answered.
       closing: whether each answer ends its connection.
     """
 
@@ -288,7 +288,7 @@
         self.handler = handler
         self.limits = limits or ConnectionLimits()
         self.connections: set[ServerConnection] = set()
-        self.active = 0
+        self.active_exchanges = 0
         self.closing = False
         self._address = address
         self._server: asyncio.Server | None = None
--- a/endivesill/link_peers.py
+++ b/endivesill/link_peers.py
@@ -74,7 +74,7 @@
             return
         task = asyncio.current_task()
         if task is not None and path in self._cancelled_paths:
-            exchange.on_gone = task.cancel
+            exchange.on_disconnect = task.cancel
         try:
             answer = await handler(message)
         except Exception as error:
--- a/endivesill/platform/client.py
+++ b/endivesill/platform/client.py
@@ -14,7 +14,7 @@
 __all__ = ["PlatformClient"]
 
 CONNECT_TIMEOUT_S = 0.4
-LONGEST_IDLE_S = 3.0
+MAX_IDLE_S = 3.0
 
 
 class PlatformClient:
@@ -26,7 +26,7 @@
 
     def __init__(self, timer: TimerService) -> None:
         self._timer = timer
-        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, LONGEST_IDLE_S)
+        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, MAX_IDLE_S)
 
     async def get(self, address: str, path: str, timeout_s: float) -> bytes:
         """Return the body of a path at HOST:PORT.
--- a/endivesill/platform/entry_process.py
+++ b/endivesill/platform/entry_process.py
@@ -36,7 +36,7 @@
 # lost a packet, and another engine is tried.
 CONNECT_TIMEOUT_S = 0.3
 # Idle connections to engines are closed before the engine might do so.
-LONGEST_IDLE_S = 3.0
+MAX_IDLE_S = 3.0
 PRUNE_S = 0.5
 # Waiting requests look for room at least this often.
 SERVE_S = 0.02
@@ -87,7 +87,7 @@
         )
         placer = Placer(timer, self._table, self._admission, self._follower, transport)
         self._statistics = Statistics()
-        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, LONGEST_IDLE_S)
+        self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, MAX_IDLE_S)
         budget = RetryBudget(
             timer,
             bounds.retry_ratio,
@@ -137,10 +137,10 @@
         age_s = self._silence_s()
         gauges = {
             "ready": int(self.is_ready()),
-            "active_requests": self._front.active,
+            "active_requests": self._front.active_exchanges,
             "waiting_requests": self._admission.waiting(),
             "caller_connections": len(self._front.connections),
-            "target_connects_total": self._pool.connects,
+            "target_connects_total": self._pool.connect_attempts,
             "state_version": view.version or 0,
             "engines_listed": len(view.engines),
             "allowance_share": round(view.loan.share_at(now_s), 4),
@@ -216,7 +216,9 @@
         self._front.closing = True
         grace_s = self._settings.bounds.grace_s
         events.emit(
-            events.PROCESS_STOPPING, vm=self._settings.vm, active=self._front.active
+            events.PROCESS_STOPPING,
+            vm=self._settings.vm,
+            active=self._front.active_exchanges,
         )
         lag_end_s = since_s + BALANCER_LAG_S
         end_s = since_s + SERVING_SHARE * grace_s
--- a/endivesill/targets/client.py
+++ b/endivesill/targets/client.py
@@ -152,7 +152,7 @@
                 self._pool,
                 address,
                 lambda: _encode(address, prefix, request),
-                longest_idle_s=0.0 if fresh else None,
+                max_idle_s=0.0 if fresh else None,
                 may_start=may_start or (lambda: True),
                 no_body=request.method == "HEAD",
             )
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -70,7 +70,7 @@
         elif self.not_run:
             exchange.respond(503, [attempt, (b"X-Endivesill-Not-Executed", b"1")])
         elif self.hangs:
-            await exchange.gone.wait()
+            await exchange.disconnected.wait()
             self.left_early += 1
         elif b"x-endivesill-token-counts" in headers:
             await self._stream(exchange, headers, attempt)
@@ -85,12 +85,12 @@
         status = self.answers.pop(0) if self.answers else 200
         body = self.identity.encode()
         if self.unframed:
-            exchange.answered = True
+            exchange.head_sent = True
             exchange.connection.transport.write(
                 b"HTTP/1.1 200 OK\r\n" + attempt[0] + b": " + attempt[1] + b"\r\n"
                 b"X-Endivesill-Response-Seal: 1.2.3\r\n\r\n" + body
             )
-            exchange.close_after = exchange.finished = True
+            exchange.closes_connection = exchange.finished = True
             return
         exchange.respond(status, [attempt, SEAL], body)
 
@@ -110,7 +110,7 @@
                 await asyncio.sleep(0.01)
                 exchange.abort()
                 return
-            if exchange.gone.is_set():
+            if exchange.disconnected.is_set():
                 self.left_early += 1
                 return
             exchange.send(b"id: %d\ndata: t%d\n\n" % (number, number))
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -31,7 +31,7 @@
     async def test_a_whole_answer_leaves_the_connection_clean(self):
         head, body = await self.answer(WHOLE[:20], WHOLE[20:])
         self.assertEqual((200, b"ok"), (head.status, body))
-        self.assertTrue(self.connection.end())
+        self.assertTrue(self.connection.end_exchange())
         self.assertTrue(self.connection.is_usable(10.0))
 
     async def test_a_short_answer_is_broken(self):
@@ -49,7 +49,7 @@
         self.connection.eof_received()
         await self.connection.head()
         self.assertEqual(b"all of it", await self.connection.read_all())
-        self.assertFalse(self.connection.end())
+        self.assertFalse(self.connection.end_exchange())
 
     async def test_an_answer_without_a_length_that_is_reset_is_broken(self):
         self.ask()
@@ -77,7 +77,7 @@
     async def test_an_early_answer_to_a_body_that_is_not_sent_ends_the_connection(self):
         self.transport.unsent_bytes = 100
         await self.answer(WHOLE)
-        self.assertFalse(self.connection.end())
+        self.assertFalse(self.connection.end_exchange())
         self.assertTrue(self.transport.aborted)
 
 
@@ -85,11 +85,11 @@
     async def test_an_answer_after_the_answer_ends_the_connection(self):
         _, body = await self.answer(WHOLE + WHOLE)
         self.assertEqual(b"ok", body)
-        self.assertFalse(self.connection.end())
+        self.assertFalse(self.connection.end_exchange())
 
     async def test_a_late_answer_on_an_idle_connection_ends_it(self):
         await self.answer(WHOLE)
-        self.assertTrue(self.connection.end())
+        self.assertTrue(self.connection.end_exchange())
         self.connection.data_received(WHOLE)
         self.assertFalse(self.connection.is_usable(10.0))
         with self.assertRaises(UpstreamError) as caught:
@@ -98,11 +98,11 @@
 
     async def test_a_connection_that_the_peer_ends_is_not_used_again(self):
         await self.answer(WHOLE.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n"))
-        self.assertFalse(self.connection.end())
+        self.assertFalse(self.connection.end_exchange())
 
     async def test_the_peers_keep_alive_time_bounds_the_idle_time(self):
         await self.answer(WHOLE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=2\r\n"))
-        self.connection.end()
+        self.connection.end_exchange()
         await self.timer.advance(1.4)
         self.assertTrue(self.connection.is_usable(10.0))
         await self.timer.advance(0.2)
@@ -113,7 +113,7 @@
         self.connection.data_received(WHOLE)
         await self.connection.head()
         await self.connection.read_all()
-        self.connection.skip_answer()
+        self.connection.skip_response()
         self.connection.data_received(WHOLE.replace(b"200 OK", b"201 OK"))
         self.assertEqual(201, (await self.connection.head()).status)
 
--- a/tests/test_http1_sending.py
+++ b/tests/test_http1_sending.py
@@ -46,8 +46,8 @@
             self.pool,
             changes.pop("address", self.listener.address),
             lambda: REQUEST,
-            started=self.note_start,
-            belongs=lambda head: head.header(b"x-name") == b"own",
+            on_started=self.note_start,
+            is_own_response=lambda head: head.header(b"x-name") == b"own",
             **changes,
         )
 
@@ -83,26 +83,26 @@
 
     async def test_late_answers_to_others_are_skipped(self):
         self.names = [b"late", b"own"]
-        connection, head = await self.send(foreign_limit=1)
+        connection, head = await self.send(max_foreign_responses=1)
         self.assertEqual(b"own", head.header(b"x-name"))
         self.pool.release(connection)
 
     async def test_more_answers_to_others_than_that_are_a_failure(self):
         self.names = [b"late", b"later", b"own"]
-        failure = await self.failure(foreign_limit=1)
-        self.assertIs(SendFailure.FOREIGN_ANSWER, failure)
+        failure = await self.failure(max_foreign_responses=1)
+        self.assertIs(SendFailure.FOREIGN_RESPONSE, failure)
         self.assertFalse(failure.not_run)
 
     async def test_a_new_connection_leaves_the_idle_ones(self):
         connection, _ = await self.send()
         await connection.read_all()
         self.pool.release(connection)
-        fresh, _ = await self.send(longest_idle_s=0.0)
+        fresh, _ = await self.send(max_idle_s=0.0)
         self.assertIsNot(connection, fresh)
         await fresh.read_all()
         self.pool.release(fresh)
         self.assertTrue(connection.is_usable(5.0))
-        self.assertEqual(2, self.pool.connects)
+        self.assertEqual(2, self.pool.connect_attempts)
         again, _ = await self.send()
         self.assertIs(fresh, again)
         self.pool.release(again)
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -162,8 +162,8 @@
         left = []
 
         async def handle(exchange):
-            exchange.on_gone = lambda: left.append(exchange)
-            await exchange.gone.wait()
+            exchange.on_disconnect = lambda: left.append(exchange)
+            await exchange.disconnected.wait()
 
         self.listener.handler = handle
         connection, _ = await self.send(HEAD + b"Content-Length: 0\r\n\r\n")
