--- a/endivesill/platform/__init__.py
+++ b/endivesill/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: names, formats and calls."""
+"""Adapter to the users' platform: wire names, message formats and HTTP calls."""
--- a/endivesill/platform/__main__.py
+++ b/endivesill/platform/__main__.py
@@ -17,12 +17,13 @@
 
 
 async def run(role: str, settings: NodeSettings) -> None:
-    """Run a process of a role until it stops."""
+    """Run the process of the given role until it is stopped by a signal."""
     timer = SystemTimer()
     log = JsonLog(timer, settings.vm, failed=request_failed)
     log.start()
     try:
-        # Each role loads only what it needs, for a fast start in little memory.
+        # Each role imports only its own modules, which shortens the start and
+        # saves memory.
         if role == "entry":
             from endivesill.platform.entry_process import EntryProcess
 
@@ -36,7 +37,7 @@
 
 
 def main() -> int:
-    """Run the process; return its exit status."""
+    """Run the process; return its exit status (2: usage, 1: bad settings file)."""
     if len(sys.argv) != 2 or sys.argv[1] not in ROLES:
         print(f"usage: python3 -m endivesill.platform {'|'.join(ROLES)}")
         return 2
--- a/endivesill/platform/check.py
+++ b/endivesill/platform/check.py
@@ -1,4 +1,4 @@
-"""Checks the files that the platform reads and writes, before it does."""
+"""Validates settings and deploy files without starting a process."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 __all__ = ["check_deploy", "check_files"]
 
 MODULE = "endivesill.platform"
-# Role of the program by what the platform calls it for.
-ROLE_OF = {"front": "entry", "control": "control"}
+# Process role by the kind of calls that the platform routes to it.
+ROLE_BY_CALLS = {"front": "entry", "control": "control"}
 
 
 def check_files(settings: str | None, deploy: str | None) -> list[Finding]:
-    """Return what is wrong with a settings file and a deploy file.
+    """Return the findings of a settings file and a deploy file.
 
     Args:
-      settings: the settings file of a process; None to leave it out.
-      deploy: the deploy file; None to leave it out.
+      settings: path of the settings file of a process; None to skip it.
+      deploy: path of the deploy file; None to skip it.
     """
     findings = check_settings(settings) if settings is not None else []
     return findings + (check_deploy(deploy) if deploy is not None else [])
 
 
 def check_deploy(path: str) -> list[Finding]:
-    """Return what is wrong with a deploy file."""
+    """Return the findings of a deploy file; empty if it is valid."""
     try:
         document = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -40,12 +40,14 @@
         return [Finding(path, 0, text) for text in [*texts, "roles: none"]]
     for name, role in roles.items():
         texts += [f"roles.{name}: {text}" for text in _check_role(role)]
-    served = [s for role in roles.values() for s in _served(role)]
-    texts += [f"no role serves {what!r}" for what in ROLE_OF if what not in served]
+    served = [s for role in roles.values() for s in _served_calls(role)]
+    texts += [
+        f"no role serves {calls!r}" for calls in ROLE_BY_CALLS if calls not in served
+    ]
     return [Finding(path, 0, text) for text in texts]
 
 
-def _served(role: Any) -> list[str]:
+def _served_calls(role: Any) -> list[str]:
     served = role.get("serves", []) if isinstance(role, dict) else []
     return [s for s in served if isinstance(s, str)] if isinstance(served, list) else []
 
@@ -54,11 +56,11 @@
     if not isinstance(role, dict):
         return ["not a table"]
     texts = []
-    words = str(role.get("run", "")).split()
-    if MODULE not in words or words[-1] not in ROLE_OF.values():
+    arguments = str(role.get("run", "")).split()
+    if MODULE not in arguments or arguments[-1] not in ROLE_BY_CALLS.values():
         texts.append(f"run: does not start {MODULE} with a role")
-    elif [words[-1]] != [ROLE_OF.get(what) for what in _served(role)]:
-        texts.append(f"serves: {words[-1]} serves other calls")
+    elif [arguments[-1]] != [ROLE_BY_CALLS.get(calls) for calls in _served_calls(role)]:
+        texts.append(f"serves: {arguments[-1]} serves other calls")
     if "share" not in role and "count" not in role:
         texts.append("neither share nor count")
     share = role.get("share", 1.0)
--- a/endivesill/platform/client.py
+++ b/endivesill/platform/client.py
@@ -1,4 +1,4 @@
-"""Asks the platform and its engines for what they say of themselves."""
+"""HTTP client for read-only calls to the platform and its engines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PlatformClient:
-    """Calls that only read.
+    """Sends GET requests over pooled connections.
 
     Args:
       timer: the timer service.
@@ -29,26 +29,27 @@
         self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, MAX_IDLE_S)
 
     async def get(self, address: str, path: str, timeout_s: float) -> bytes:
-        """Return the body of a path at HOST:PORT.
+        """Return the body of a 200 response from HOST:PORT.
 
         Raises:
-          UnavailableError: there is none in time.
+          UnavailableError: the request failed or timed out, or the status is
+            not 200.
         """
-        head, body = await self.ask(address, path, timeout_s)
+        head, body = await self.get_response(address, path, timeout_s)
         if head.status != 200:
             raise errors.UnavailableError(f"{address}{path}: status {head.status}")
         return body
 
-    async def ask(
+    async def get_response(
         self, address: str, path: str, timeout_s: float
     ) -> tuple[ResponseHead, bytes]:
-        """Return the answer of a path at HOST:PORT, whatever its status.
+        """Return the head and the body of a response from HOST:PORT, of any status.
 
         Raises:
-          UnavailableError: there is none in time.
+          UnavailableError: the request failed or timed out.
         """
-        start = f"GET {path} HTTP/1.1".encode()
-        request = encode_head(start, [(b"Host", address.encode())])
+        request_line = f"GET {path} HTTP/1.1".encode()
+        request = encode_head(request_line, [(b"Host", address.encode())])
         try:
             return await self._timer.wait_for(
                 self._pool.exchange(address, request), timeout_s
--- a/endivesill/platform/configuration.py
+++ b/endivesill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration."""
+"""Decodes and validates the configuration documents that operators send."""
 
 from __future__ import annotations
 
@@ -19,59 +19,63 @@
 __all__ = ["decode_configuration"]
 
 MS_PER_S = 1_000.0
-# In force where a configuration leaves a limit out.
-HEADER_BYTES = 16_384
-BODY_BYTES = 4_194_304
-HEADER_TIMEOUT_MS = 3_000.0
-IDLE_TIMEOUT_MS = 15_000.0
-# Requests that an engine runs at once where its sheet does not say.
-ENGINE_SLOTS = 1
-# Used for a service that does not name its own.
-HEALTH_PATH = "/health"
+# Limits that apply where a configuration omits them.
+DEFAULT_MAX_HEADER_BYTES = 16_384
+DEFAULT_MAX_BODY_BYTES = 4_194_304
+DEFAULT_HEADER_TIMEOUT_MS = 3_000.0
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+# Concurrent requests of an engine whose specification does not state them.
+DEFAULT_ENGINE_SLOTS = 1
+# Health check path of a service that does not set one.
+DEFAULT_HEALTH_PATH = "/health"
 
 
 def decode_configuration(document: Any) -> FleetConfiguration:
-    """Return the configuration of a document.
+    """Return the configuration that a JSON document describes.
 
     Raises:
-      DocumentError: it cannot be in force; the text names the place.
+      DocumentError: the document is invalid; the text names the field.
     """
     reader = Reader(document, "state")
     services = {
-        service.name: service for service in map(_service, reader.objects("services"))
+        service.name: service
+        for service in map(_decode_service, reader.objects("services"))
     }
-    routes = tuple(_route(item, services) for item in reader.objects("routes"))
-    _check_places(routes)
-    organisations = tuple(map(_organisation, reader.objects("tenants", [])))
-    _check_keys(organisations)
+    routes = tuple(_decode_route(item, services) for item in reader.objects("routes"))
+    _check_unique_matches(routes)
+    organisations = tuple(map(_decode_organisation, reader.objects("tenants", [])))
+    _check_unique_keys(organisations)
     limits = Reader(document.get("limits") or {}, "state.limits")
     return FleetConfiguration(
         version=reader.integer("version"),
         routes=routes,
         services=services,
         organisations=organisations,
-        header_bytes=limits.integer("max_header_bytes", HEADER_BYTES),
-        body_bytes=limits.integer("max_body_bytes", BODY_BYTES),
-        header_timeout_s=limits.number("header_timeout_ms", HEADER_TIMEOUT_MS)
+        header_bytes=limits.integer("max_header_bytes", DEFAULT_MAX_HEADER_BYTES),
+        body_bytes=limits.integer("max_body_bytes", DEFAULT_MAX_BODY_BYTES),
+        header_timeout_s=limits.number("header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS)
+        / MS_PER_S,
+        idle_timeout_s=limits.number("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS)
         / MS_PER_S,
-        idle_timeout_s=limits.number("idle_timeout_ms", IDLE_TIMEOUT_MS) / MS_PER_S,
     )
 
 
-def _service(reader: Reader) -> Service:
+def _decode_service(reader: Reader) -> Service:
     return Service(
         name=reader.text("name"),
-        health_path=reader.text("health_path", HEALTH_PATH),
+        health_path=reader.text("health_path", DEFAULT_HEALTH_PATH),
         max_connections=reader.integer("max_connections", 0),
         cold_start_s=reader.number("cold_start_s", 0.0),
         cold_requests_per_s=reader.number("cold_per_s", 0.0),
-        memory=_memory(reader.object("engine")) if reader.has("engine") else None,
+        memory=_decode_engine_spec(reader.object("engine"))
+        if reader.has("engine")
+        else None,
     )
 
 
-def _memory(reader: Reader) -> EngineMemory:
+def _decode_engine_spec(reader: Reader) -> EngineMemory:
     return EngineMemory(
-        slots=reader.integer("slots", ENGINE_SLOTS),
+        slots=reader.integer("slots", DEFAULT_ENGINE_SLOTS),
         capacity_tokens=reader.integer("kv_capacity_tokens", 0),
         event_tokens=reader.integer("stride", 1),
         has_backups=reader.flag("backups", False),
@@ -79,7 +83,7 @@
     )
 
 
-def _route(reader: Reader, services: dict[str, Service]) -> Route:
+def _decode_route(reader: Reader, services: dict[str, Service]) -> Route:
     name = reader.text("name")
     timeout_ms = reader.number("timeout_ms")
     if timeout_ms <= 0:
@@ -95,14 +99,14 @@
         timeout_s=timeout_ms / MS_PER_S,
         target_latency_s=reader.number("target_latency_ms", timeout_ms) / MS_PER_S,
         priority=reader.integer("priority", 0),
-        shares=_shares(reader, name, services),
+        shares=_decode_weighted_services(reader, name, services),
         max_attempts=reader.integer("max_attempts", 1),
         is_public=reader.flag("public", False),
         gap_target_s=reader.number("gap_target_ms", 0.0) / MS_PER_S,
     )
 
 
-def _shares(
+def _decode_weighted_services(
     reader: Reader, route: str, services: dict[str, Service]
 ) -> tuple[ServiceShare, ...]:
     if reader.has("traffic_split"):
@@ -120,7 +124,7 @@
     return shares
 
 
-def _organisation(reader: Reader) -> Organisation:
+def _decode_organisation(reader: Reader) -> Organisation:
     return Organisation(
         name=reader.text("name"),
         keys=tuple(reader.texts("api_keys", [])),
@@ -128,21 +132,21 @@
     )
 
 
-def _check_places(routes: tuple[Route, ...]) -> None:
-    places = set()
+def _check_unique_matches(routes: tuple[Route, ...]) -> None:
+    matches = set()
     for route in routes:
-        place = (route.host, route.path_prefix)
-        if place in places:
+        match_key = (route.host, route.path_prefix)
+        if match_key in matches:
             raise errors.DocumentError(f"route {route.name}: the place is taken")
-        places.add(place)
+        matches.add(match_key)
 
 
-def _check_keys(organisations: tuple[Organisation, ...]) -> None:
-    holders: dict[str, str] = {}
+def _check_unique_keys(organisations: tuple[Organisation, ...]) -> None:
+    owner_by_key: dict[str, str] = {}
     for organisation in organisations:
         for key in organisation.keys:
-            holder = holders.setdefault(key, organisation.name)
-            if holder != organisation.name:
+            owner = owner_by_key.setdefault(key, organisation.name)
+            if owner != organisation.name:
                 raise errors.DocumentError(
-                    f"tenants {holder} and {organisation.name} share a key"
+                    f"tenants {owner} and {organisation.name} share a key"
                 )
--- a/endivesill/platform/control_process.py
+++ b/endivesill/platform/control_process.py
@@ -1,4 +1,4 @@
-"""The control process: a replica of the state and the operators' port."""
+"""The control process: a replica of the state and the listener for operators."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from endivesill.http1 import ConnectionLimits, HttpListener
 from endivesill.link_peers import LinkPeerTransport
 from endivesill.platform.client import PlatformClient
-from endivesill.platform.leader_home import LeaderHome
-from endivesill.platform.metrics_port import MetricsPort
-from endivesill.platform.operators import OperatorPort
-from endivesill.platform.process import SettingsWatch, StopSignal
-from endivesill.platform.provider import PlatformList
+from endivesill.platform.leader_placement import LeaderPlacement
+from endivesill.platform.metrics_port import MetricsListener
+from endivesill.platform.operators import OperatorHandler
+from endivesill.platform.process import SettingsWatcher, StopSignal
+from endivesill.platform.provider import PlatformEngineList
 from endivesill.platform.settings import NodeSettings
 from endivesill.supervision import supervise
 from endivesill.timer import TimerService
 
 __all__ = ["run_control"]
 
-# Control VMs are milliseconds apart; an election must end well before the
-# operators' orders time out.
+# The round trip between control VMs takes milliseconds; an election must finish
+# well before the calls of operators time out.
 HEARTBEAT_S = 0.15
 ELECTION_TIMEOUT_S = 0.5
-# A configuration may be as large as a megabyte and the disk is small, so that
-# the log is cut often.
+# A configuration may reach a megabyte and the disk is small, so the log is
+# compacted often.
 SNAPSHOT_ENTRIES = 100
 TRAILING_ENTRIES = 20
 SEGMENT_BYTES = 1_048_576
-# Orders are small but for configurations of many routes.
+# Calls are small except for configurations with many routes.
 OPERATOR_LIMITS = ConnectionLimits(body_bytes=16_777_216)
 
 
 def control_settings(settings: NodeSettings) -> ControlSettings:
-    """Return the settings of the replica.
+    """Return the settings of the control replica.
 
     An acknowledged change must survive the loss of `tolerated_losses` disks, so
-    nothing is accepted by fewer voters than twice that.
+    nothing is accepted while there are fewer voters than twice that number.
     """
     return ControlSettings(
         heartbeat_s=HEARTBEAT_S,
@@ -51,10 +51,10 @@
 
 
 async def run_control(settings: NodeSettings, timer: TimerService) -> None:
-    """Run a control process until it is told to stop."""
+    """Run a control process until SIGTERM or SIGINT."""
     stop = StopSignal(settings, timer)
-    # The seeds matter only until the replica has a state; a change is logged.
-    SettingsWatch(timer, lambda changed: None)
+    # The replica uses the seeds only until it has state; a change is only logged.
+    SettingsWatcher(timer, lambda changed: None)
     transport = LinkPeerTransport(timer, settings.peer_address)
     disk = TimedDisk(settings.data_folder, timer)
     replica = ControlReplica(
@@ -71,22 +71,26 @@
         timer,
         replica,
         transport,
-        PlatformList(client, settings.list_address, settings.list_calls_per_s),
+        PlatformEngineList(
+            client, settings.engine_list_address, settings.engine_list_calls_per_s
+        ),
     )
-    home = LeaderHome(settings, timer, replica, hub, transport, client)
-    operators = OperatorPort(timer, replica)
+    placement = LeaderPlacement(settings, timer, replica, hub, transport, client)
+    operators = OperatorHandler(timer, replica)
     listener = HttpListener(
         timer, settings.control_address, operators.handle, OPERATOR_LIMITS
     )
-    metrics = MetricsPort(timer, settings, lambda: _lines(replica, hub, home, disk))
+    metrics = MetricsListener(
+        timer, settings, lambda: _metric_lines(replica, hub, placement, disk)
+    )
     await replica.start()
     await transport.start()
     await listener.start()
     await metrics.start()
     tasks = [
         supervise(timer, "fleet-hub", hub.run),
-        supervise(timer, "engine-reports", home.run_reports),
-        supervise(timer, "engine-checks", home.run_checks),
+        supervise(timer, "engine-reports", placement.run_reports),
+        supervise(timer, "engine-checks", placement.run_checks),
     ]
     events.emit(
         events.PROCESS_STARTED,
@@ -107,12 +111,12 @@
     await asyncio.sleep(0)
 
 
-def _lines(
-    replica: ControlReplica, hub: FleetHub, home: LeaderHome, disk: TimedDisk
+def _metric_lines(
+    replica: ControlReplica, hub: FleetHub, placement: LeaderPlacement, disk: TimedDisk
 ) -> list[str]:
     core = replica.core
     lag = core.commit_index - replica.applied_index
-    reading = hub.reader.current
+    engine_list = hub.reader.current
     return [
         f"endivesill_control_term {core.term}",
         f"endivesill_control_leads {int(replica.is_leader)}",
@@ -122,7 +126,7 @@
         f"endivesill_control_last_index {core.log.last_index}",
         f"endivesill_control_synced_index {core.log.synced_index}",
         f"endivesill_control_disk_failed {int(core.log.last_error is not None)}",
-        f"endivesill_list_number {reading.number if reading else 0}",
-        *home.metric_lines(),
+        f"endivesill_list_number {engine_list.number if engine_list else 0}",
+        *placement.metric_lines(),
         *disk.sync_durations.lines("endivesill_control_sync_seconds"),
     ]
--- a/endivesill/platform/engines.py
+++ b/endivesill/platform/engines.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's list of engines and the heads of requests and answers."""
+"""Decodes the engine list; encodes and decodes request and response heads."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 __all__ = ["ListPage", "PlatformProtocol", "decode_list_page"]
 
 MS_PER_S = 1_000.0
-STATES = {"ready": False, "draining": True}
+IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 @attrs.frozen
 class ListPage:
-    """A page of the platform's list.
+    """One page of the platform's engine list.
 
     Attributes:
-      engines: the engines that could be read.
-      skipped: why other entries could not be.
-      next_token: token of the next page; empty on the last.
+      engines: the entries that could be decoded.
+      skipped: the error text of each entry that could not be decoded.
+      next_token: page token of the next page; empty on the last page.
     """
 
     engines: list[EngineInfo]
@@ -36,10 +36,10 @@
 
 
 def decode_list_page(body: bytes) -> ListPage:
-    """Return a page; entries that cannot be read leave the others as they are.
+    """Decode one page; an entry that is invalid does not affect the others.
 
     Raises:
-      DocumentError: the page as a whole cannot be read.
+      DocumentError: the page itself is invalid.
     """
     try:
         reader = Reader(json.loads(body), "list")
@@ -49,21 +49,21 @@
     skipped = []
     for position, entry in enumerate(reader.items("instances")):
         try:
-            engines.append(_engine(Reader(entry, f"list[{position}]")))
+            engines.append(_decode_engine(Reader(entry, f"list[{position}]")))
         except errors.DocumentError as error:
             skipped.append(str(error))
     return ListPage(engines, skipped, reader.text("next", ""))
 
 
-def _engine(reader: Reader) -> EngineInfo:
+def _decode_engine(reader: Reader) -> EngineInfo:
     state = reader.text("state")
-    if state not in STATES:
+    if state not in IS_DRAINING_BY_STATE:
         raise errors.DocumentError(f"no state {state!r}")
     address = reader.text("address")
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise errors.DocumentError(f"no address {address!r}")
-    # An engine may start again under its identity; `born` tells its starts apart.
+    # A restarted engine keeps its identity; `born` distinguishes its incarnations.
     born = reader.integer("born", 0)
     return EngineInfo(
         identity=reader.text("id"),
@@ -72,56 +72,56 @@
         address=address,
         data_centre=reader.text("zone", ""),
         slots=reader.integer("slots", 1),
-        is_draining=STATES[state],
+        is_draining=IS_DRAINING_BY_STATE[state],
         cold_s=reader.number("cold_remaining_ms", 0) / MS_PER_S,
     )
 
 
-def _integers(value: bytes, separator: bytes = b",") -> list[int]:
+def _parse_integers(value: bytes, separator: bytes = b",") -> list[int]:
     parts = [part.strip() for part in value.split(separator)]
     return [int(part) for part in parts] if all(p.isdigit() for p in parts) else []
 
 
 class PlatformProtocol:
-    """Heads of requests and answers as the platform's parties write them."""
+    """Encodes and decodes the platform's request and response headers."""
 
     def decode_request(self, headers: Headers) -> RequestInfo:
-        """Return what the router needs of a caller's request."""
-        counts = _integers(header_value(headers, wire.TOKEN_COUNTS))
-        hint = _integers(header_value(headers, wire.LENGTH_HINT))
-        deadline = _integers(header_value(headers, wire.DEADLINE))
+        """Return the properties that routing needs; invalid values count as absent."""
+        counts = _parse_integers(header_value(headers, wire.TOKEN_COUNTS))
+        length_hint = _parse_integers(header_value(headers, wire.LENGTH_HINT))
+        deadline_ms = _parse_integers(header_value(headers, wire.DEADLINE))
         keys = header_values(headers, wire.API_KEY)
         return RequestInfo(
             attempt_id=header_value(headers, wire.ATTEMPT_ID).decode("latin-1"),
-            deadline_s=deadline[0] / MS_PER_S if deadline else None,
+            deadline_s=deadline_ms[0] / MS_PER_S if deadline_ms else None,
             key=keys[0].decode("latin-1") if len(keys) == 1 else "",
             prompt_tokens=counts[0] if counts else 0,
             maximum_output_tokens=counts[1] if len(counts) > 1 else 0,
-            expected_output_tokens=hint[0] if hint else 0,
-            prefix=_prefix(header_value(headers, wire.PROMPT_PREFIX)),
+            expected_output_tokens=length_hint[0] if length_hint else 0,
+            prefix=_parse_prefix(header_value(headers, wire.PROMPT_PREFIX)),
         )
 
     def encode_request(
         self, method: str, target: bytes, headers: Headers, dispatch: Dispatch
     ) -> bytes:
-        """Return the head of the request to an engine."""
-        lines = [
+        """Return the request head for an engine, with the system headers replaced."""
+        header_lines = [
             (name, value)
             for name, value in strip_hop_by_hop(headers)
             if name.lower() not in wire.SYSTEM_HEADERS
             and not (dispatch.resume_from and name.lower() == wire.LAST_EVENT_ID)
         ]
-        lines += _dispatch_headers(dispatch)
+        header_lines += _dispatch_headers(dispatch)
         if dispatch.body_bytes or method not in ("GET", "HEAD", "DELETE"):
-            lines.append((b"Content-Length", b"%d" % dispatch.body_bytes))
-        return encode_head(method.encode() + b" " + target + b" HTTP/1.1", lines)
+            header_lines.append((b"Content-Length", b"%d" % dispatch.body_bytes))
+        return encode_head(method.encode() + b" " + target + b" HTTP/1.1", header_lines)
 
     def answered_attempt(self, head: ResponseHead) -> str:
-        """Return the attempt that an answer is to; empty if it does not say."""
+        """Return the attempt id that a response names; empty if it names none."""
         return head.header(wire.ATTEMPT_ID).decode("latin-1")
 
     def decode_answer(self, head: ResponseHead) -> AnswerInfo:
-        """Return what the router needs of an engine's answer."""
+        """Return the response properties that routing needs."""
         status = head.status
         return AnswerInfo(
             status=status,
@@ -132,19 +132,19 @@
     def encode_copy_order(
         self, source: str, attempt_id: str, destination: str
     ) -> bytes:
-        """Return the request that orders a copy of a run."""
-        # `target` holds the address of the engine that gets the copy; without
-        # `last` the run goes on meanwhile.
+        """Return the request that makes an engine copy a run to another engine."""
+        # `target` is the address of the engine that receives the copy. Without
+        # `last` the run continues during the copy.
         body = json.dumps({"id": attempt_id, "target": destination}).encode()
         headers = [
             (b"Host", source.encode()),
             (b"Content-Type", b"application/json"),
             (b"Content-Length", b"%d" % len(body)),
         ]
-        return encode_head(b"POST " + wire.MOVE_PATH + b" HTTP/1.1", headers) + body
+        return encode_head(b"POST " + wire.KV_MOVE_PATH + b" HTTP/1.1", headers) + body
 
     def decode_copy_name(self, body: bytes) -> str:
-        """Return the name of a copy; empty if the answer has none."""
+        """Return the handle of a copy; empty if the response has none."""
         try:
             return Reader(json.loads(body), "copy").text("handle")
         except (ValueError, errors.DocumentError) as error:
@@ -152,18 +152,18 @@
             return ""
 
     def encode_copy_release(self, source: str, name: str) -> bytes:
-        """Return the request that frees a copy."""
-        start = b"DELETE " + wire.COPY_PREFIX + name.encode() + b" HTTP/1.1"
-        return encode_head(start, [(b"Host", source.encode())])
+        """Return the request that releases a copy."""
+        request_line = b"DELETE " + wire.KV_HANDLE_PREFIX + name.encode() + b" HTTP/1.1"
+        return encode_head(request_line, [(b"Host", source.encode())])
 
     def refusal_headers(self, retry_after_s: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of a refusal: Retry-After, or none without a time."""
         if retry_after_s is None:
             return []
         return [(wire.RETRY_AFTER.title(), b"%.2f" % retry_after_s)]
 
 
-def _prefix(value: bytes) -> tuple[tuple[str, int], ...]:
+def _parse_prefix(value: bytes) -> tuple[tuple[str, int], ...]:
     parts: list[tuple[str, int]] = []
     for item in value.split(b","):
         identity, _, tokens = item.strip().partition(b":")
@@ -174,18 +174,18 @@
 
 
 def _dispatch_headers(dispatch: Dispatch) -> Headers:
-    lines: Headers = [
+    header_lines: Headers = [
         (wire.DEADLINE, b"%d" % int(dispatch.left_s * MS_PER_S)),
         (wire.EXPECTED_INSTANCE, dispatch.identity.encode()),
     ]
     if dispatch.organisation:
-        lines.append((wire.ORGANISATION, dispatch.organisation.encode()))
+        header_lines.append((wire.ORGANISATION, dispatch.organisation.encode()))
     if dispatch.urgency is not None:
-        lines.append((wire.URGENCY, b"%d" % dispatch.urgency))
+        header_lines.append((wire.URGENCY, b"%d" % dispatch.urgency))
     if dispatch.backup_address:
-        lines.append((wire.KV_BACKUP, dispatch.backup_address.encode()))
+        header_lines.append((wire.KV_BACKUP, dispatch.backup_address.encode()))
     if dispatch.resume_from:
-        lines.append((wire.KV_FROM, dispatch.resume_from.encode()))
-        lines.append((wire.LAST_EVENT_ID, dispatch.last_event_id.encode()))
-    # Names are written as the platform's pages write them.
-    return [(name.title(), value) for name, value in lines]
+        header_lines.append((wire.KV_FROM, dispatch.resume_from.encode()))
+        header_lines.append((wire.LAST_EVENT_ID, dispatch.last_event_id.encode()))
+    # The platform documents header names in title case.
+    return [(name.title(), value) for name, value in header_lines]
--- a/endivesill/platform/entry_process.py
+++ b/endivesill/platform/entry_process.py
@@ -1,4 +1,4 @@
-"""The entry process: forwards callers' requests."""
+"""The entry process: forwards requests of callers to targets."""
 
 from __future__ import annotations
 
@@ -24,38 +24,39 @@
 from endivesill.link_peers import LinkPeerTransport
 from endivesill.platform.configuration import decode_configuration
 from endivesill.platform.engines import PlatformProtocol
-from endivesill.platform.metrics_port import MetricsPort
-from endivesill.platform.process import SettingsWatch, StopSignal
+from endivesill.platform.metrics_port import MetricsListener
+from endivesill.platform.process import SettingsWatcher, StopSignal
 from endivesill.platform.settings import NodeSettings
 from endivesill.supervision import supervise
 from endivesill.timer import TimerService
 
 __all__ = ["EntryProcess"]
 
-# A connection to an engine takes a few milliseconds; one that takes longer has
-# lost a packet, and another engine is tried.
+# Connecting to an engine takes a few milliseconds. A longer time means a lost
+# packet, and another engine is tried.
 CONNECT_TIMEOUT_S = 0.3
-# Idle connections to engines are closed before the engine might do so.
+# Idle connections are closed before the engine would close them.
 MAX_IDLE_S = 3.0
-PRUNE_S = 0.5
-# Waiting requests look for room at least this often.
-SERVE_S = 0.02
-# Part of the rate that cold targets bear for places given without the leader,
-# which gives out the other part.
-OWN_COLD_SHARE = 1 - COLD_SHARE
-# Streams look after their copies at least this often.
-REVIEW_S = 0.5
-# Without word from the control VMs for this long, callers do better elsewhere.
-READY_SILENCE_S = 6.0
-# After a stop was asked for: how long the balancer may still send new
-# connections, and the share of the grace until which requests are served.
+PRUNE_PERIOD_S = 0.5
+# Longest time between two attempts to admit queued requests.
+ADMISSION_PERIOD_S = 0.02
+# Fraction of the request rate of cold targets that the entries may use without
+# the leader; the leader allocates the rest.
+ENTRY_COLD_FRACTION = 1 - COLD_SHARE
+# Longest time between two checks whether a stream needs a new backup copy.
+REVIEW_PERIOD_S = 0.5
+# With older knowledge of the fleet the entry reports that it is not ready, so
+# that callers are sent to other entries.
+MAX_READY_KNOWLEDGE_AGE_S = 6.0
+# After the stop signal: how long the load balancer may still open connections,
+# and the fraction of the grace period during which requests are served.
 BALANCER_LAG_S = 2.5
-SERVING_SHARE = 5 / 6
-STOP_POLL_S = 0.05
+SERVING_FRACTION = 5 / 6
+STOP_POLL_PERIOD_S = 0.05
 
 
 class EntryProcess:
-    """One entry.
+    """One entry: the front listener with routing and admission behind it.
 
     Args:
       settings: the process's settings.
@@ -74,7 +75,7 @@
             transport,
             settings.seed_peers,
             self._own_loads,
-            self._note_news,
+            self._apply_updates,
         )
         view = self._follower.view
         self._table = TargetTable(timer, view, settings.data_centre)
@@ -103,29 +104,31 @@
             budget,
             self._pool,
             PlatformProtocol(),
-            CallLog(timer, self._statistics, self._silence_s),
+            CallLog(timer, self._statistics, self._knowledge_age_s),
             random_source,
         )
         self._front = HttpListener(
             timer, settings.front_address, self._forwarder.handle
         )
-        self._ready = HttpListener(timer, settings.ready_address, self._answer_ready)
-        self._metrics = MetricsPort(timer, settings, self._metric_lines)
+        self._readiness = HttpListener(
+            timer, settings.readiness_address, self._handle_readiness
+        )
+        self._metrics = MetricsListener(timer, settings, self._metric_lines)
 
     async def run(self) -> None:
-        """Serve until the process is told to stop."""
+        """Serve until a stop signal, then drain."""
         stop = StopSignal(self._settings, self._timer)
-        SettingsWatch(self._timer, lambda s: self._follower.use_seeds(s.seed_peers))
-        await self._ready.start()
+        SettingsWatcher(self._timer, lambda s: self._follower.use_seeds(s.seed_peers))
+        await self._readiness.start()
         await self._front.start()
         await self._metrics.start()
         task = supervise(self._timer, "fleet-follower", self._follower.run)
-        self._timer.call_every(PRUNE_S, self._pool.prune)
-        self._timer.call_every(REVIEW_S, self._table.notify)
-        self._timer.call_every(SERVE_S, self._admission.serve_waiters)
+        self._timer.call_every(PRUNE_PERIOD_S, self._pool.prune)
+        self._timer.call_every(REVIEW_PERIOD_S, self._table.notify)
+        self._timer.call_every(ADMISSION_PERIOD_S, self._admission.serve_waiters)
         events.emit(events.PROCESS_STARTED, vm=self._settings.vm, role="entry")
         await stop.wait()
-        await self._drain(stop.since_s)
+        await self._drain(stop.received_s)
         await self._follower.leave()
         task.cancel()
         await self._front.stop()
@@ -134,7 +137,7 @@
     def _metric_lines(self) -> list[str]:
         view = self._follower.view
         now_s = self._timer.now_s()
-        age_s = self._silence_s()
+        age_s = self._knowledge_age_s()
         gauges = {
             "ready": int(self.is_ready()),
             "active_requests": self._front.active_exchanges,
@@ -149,7 +152,7 @@
         lines = [f"endivesill_{name} {value}" for name, value in gauges.items()]
         return lines + self._table.metric_lines() + self._statistics.lines()
 
-    # What the fleet says.
+    # Updates of the fleet view.
 
     def _own_loads(self) -> dict[str, EngineLoad]:
         return self._table.own_loads()
@@ -158,60 +161,62 @@
         bounds = self._settings.bounds
         share = self._follower.view.loan.share_at(self._timer.now_s())
         rate = bounds.cold_factor * service.cold_requests_per_s + bounds.cold_slack
-        return OWN_COLD_SHARE * share * rate
+        return ENTRY_COLD_FRACTION * share * rate
 
-    def _note_news(self, news: set[str]) -> None:
+    def _apply_updates(self, updates: set[str]) -> None:
         view = self._follower.view
-        if "state" in news:
-            self._use_configuration(view.document)
-        if "engines" in news:
+        if "state" in updates:
+            self._apply_configuration(view.document)
+        if "engines" in updates:
             self._table.update_engines()
         self._table.update_loads(view.others)
-        if news - {"loads"}:
+        if updates - {"loads"}:
             self._admission.serve_waiters()
             self._table.notify()
 
-    def _use_configuration(self, document: Any) -> None:
+    def _apply_configuration(self, document: Any) -> None:
         try:
-            state = decode_configuration(document)
+            configuration = decode_configuration(document)
         except errors.DocumentError as error:
-            # The control VMs accept nothing that they cannot decode.
+            # Not expected: the control VMs reject documents that they cannot decode.
             events.emit(
                 events.TASK_FAILED, task="fleet-configuration", error=str(error)
             )
             return
-        self._forwarder.routes = RouteTable(state)
+        self._forwarder.routes = RouteTable(configuration)
         self._front.limits = ConnectionLimits(
-            state.header_bytes,
-            state.body_bytes,
-            state.header_timeout_s,
-            state.idle_timeout_s,
+            configuration.header_bytes,
+            configuration.body_bytes,
+            configuration.header_timeout_s,
+            configuration.idle_timeout_s,
         )
         events.emit(
-            CONFIGURATION_IN_FORCE, version=state.version, routes=len(state.routes)
+            CONFIGURATION_IN_FORCE,
+            version=configuration.version,
+            routes=len(configuration.routes),
         )
 
-    # Readiness and stop.
+    # Readiness and drain.
 
-    def _silence_s(self) -> float:
-        """Return how long ago all that is known was the newest."""
+    def _knowledge_age_s(self) -> float:
+        """Return the time since the fleet view was last confirmed as current."""
         return self._timer.now_s() - self._follower.view.confirmed_s
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this entry."""
         view = self._follower.view
         return (
             not self._stopping
             and self._forwarder.routes is not None
             and bool(view.engines)
-            and self._silence_s() < READY_SILENCE_S
+            and self._knowledge_age_s() < MAX_READY_KNOWLEDGE_AGE_S
         )
 
-    async def _answer_ready(self, exchange: Exchange) -> None:
+    async def _handle_readiness(self, exchange: Exchange) -> None:
         exchange.respond(200 if self.is_ready() else 503, [])
 
-    async def _drain(self, since_s: float) -> None:
-        """Finish what is under way, and what still comes meanwhile."""
+    async def _drain(self, stop_received_s: float) -> None:
+        """Serve running and new requests until all connections close or time is up."""
         self._stopping = True
         self._front.closing = True
         grace_s = self._settings.bounds.grace_s
@@ -220,12 +225,12 @@
             vm=self._settings.vm,
             active=self._front.active_exchanges,
         )
-        lag_end_s = since_s + BALANCER_LAG_S
-        end_s = since_s + SERVING_SHARE * grace_s
-        while (now_s := self._timer.now_s()) < end_s:
-            if now_s > lag_end_s:
+        balancer_lag_end_s = stop_received_s + BALANCER_LAG_S
+        serving_end_s = stop_received_s + SERVING_FRACTION * grace_s
+        while (now_s := self._timer.now_s()) < serving_end_s:
+            if now_s > balancer_lag_end_s:
                 self._forwarder.refuse_streams = True
                 self._front.close_idle()
                 if not self._front.connections:
                     return
-            await self._timer.sleep(STOP_POLL_S)
+            await self._timer.sleep(STOP_POLL_PERIOD_S)
--- a/endivesill/platform/health.py
+++ b/endivesill/platform/health.py
@@ -1,4 +1,4 @@
-"""Checks the health of engines."""
+"""Health checks of engines over HTTP."""
 
 from __future__ import annotations
 
@@ -13,33 +13,36 @@
 
 __all__ = ["PlatformHealth", "decode_health"]
 
-# A check takes a few milliseconds, and a second one follows soon.
-CHECK_TIMEOUT_S = 0.5
+# A check takes a few milliseconds, and a failed one is soon repeated.
+HEALTH_CHECK_TIMEOUT_S = 0.5
 
 
 def decode_health(head: ResponseHead, engine: EngineInfo) -> bool:
-    """Tell whether an engine takes work, from the answer of its health check.
+    """Return whether the response to a health check says that the engine is healthy.
 
     Raises:
-      UnavailableError: the answer does not tell.
+      UnavailableError: another instance answered, or the status does not tell:
+        it is neither 200 nor 503, or a 503 because the queue is full.
     """
     identity = head.header(wire.INSTANCE_ID).decode("latin-1")
     if identity and identity != engine.identity:
-        raise errors.UnavailableError(f"{engine.address} belongs to {identity}")
+        raise errors.UnavailableError(
+            f"{engine.address}: answered by instance {identity}"
+        )
     if head.status == 200:
         return True
-    # An engine whose queue is full rejects its check as it does any request.
+    # An engine with a full queue rejects a health check like any other request.
     if head.status != 503 or head.header(wire.NOT_EXECUTED):
         raise errors.UnavailableError(f"{engine.address}: status {head.status}")
     return False
 
 
 class PlatformHealth(HealthSource):
-    """Asks engines by HTTP.
+    """Health checks by HTTP GET.
 
     Args:
-      client: calls the engines.
-      health_path: returns the path of a service's check.
+      client: sends the checks.
+      health_path: returns the health check path of a service.
     """
 
     def __init__(
@@ -51,5 +54,7 @@
     async def is_healthy(self, engine: EngineInfo) -> bool:
         """Check one engine; see the base class."""
         path = self._health_path(engine.service)
-        head, _ = await self._client.ask(engine.address, path, CHECK_TIMEOUT_S)
+        head, _ = await self._client.get_response(
+            engine.address, path, HEALTH_CHECK_TIMEOUT_S
+        )
         return decode_health(head, engine)
--- a/endivesill/platform/leader_home.py
+++ b/endivesill/platform/leader_placement.py
@@ -1,4 +1,4 @@
-"""Connects the home of all places with what the control process knows."""
+"""Runs the placement service on the leader, in the control process."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from endivesill.platform.settings import NodeSettings
 from endivesill.timer import TimerService
 
-__all__ = ["LeaderHome"]
+__all__ = ["LeaderPlacement"]
 
-# Waiting requests look for room at least this often.
-SERVE_S = 0.02
-# Period of the lines on the engines' load while requests wait.
-LOAD_LOG_S = 1.0
+# Longest time between two attempts to admit queued requests.
+ADMISSION_PERIOD_S = 0.02
+# Period of the log lines on engine load while requests are queued.
+LOAD_LOG_PERIOD_S = 1.0
 
 
-class LeaderHome:
-    """Keeps the home's view of the fleet up to date.
+class LeaderPlacement:
+    """Feeds the placement service with the configuration and the engine list.
 
     Args:
       settings: the process's settings.
       timer: the timer service.
       replica: this VM's control replica.
-      hub: knows the engines and the loads.
+      hub: provides the engine list and the loads of the entries.
       transport: the peer port.
-      client: asks engines for their reports and health.
+      client: reads the reports and the health of engines.
     """
 
     def __init__(
@@ -54,10 +54,10 @@
         self._hub = hub
         self._view = FleetView()
         self._services: dict[str, Service] = {}
-        # Entries are everywhere, so that no data centre is nearer.
+        # The entries are in all data centres, so none of them counts as local.
         self._table = TargetTable(timer, self._view, data_centre="")
         bounds = settings.bounds
-        self._home = PlacementHome(
+        self._placement = PlacementHome(
             timer,
             self._table,
             hub.loads,
@@ -66,7 +66,7 @@
             hub.leads,
             random.Random(),
         )
-        transport.handle(PLACE_PATH, self._home.handle)
+        transport.handle(PLACE_PATH, self._placement.handle)
         transport.cancel_with_caller(PLACE_PATH)
         hub.on_change(self._update)
         self._reports = EngineReports(
@@ -79,20 +79,20 @@
             hub.note_departures,
         )
         hub.reader.use_departures(self._leaving, self._reports.noticed)
-        timer.call_every(SERVE_S, self._serve)
-        timer.call_every(LOAD_LOG_S, self._home.log_load)
+        timer.call_every(ADMISSION_PERIOD_S, self._update_placement)
+        timer.call_every(LOAD_LOG_PERIOD_S, self._placement.log_load)
 
     async def run_reports(self) -> None:
-        """Read the engines' reports until cancelled."""
+        """Read the reports of engines until cancelled; only the leader reads any."""
         await self._reports.run()
 
     async def run_checks(self) -> None:
-        """Check the engines' health until cancelled."""
+        """Check the health of engines until cancelled; only the leader checks any."""
         await self._departures.run()
 
     def metric_lines(self) -> list[str]:
-        """Return the metrics' lines on engines and waiting requests."""
-        waiting = f"endivesill_waiting_requests {self._home.waiting()}"
+        """Return metric lines for the targets and the number of queued requests."""
+        waiting = f"endivesill_waiting_requests {self._placement.waiting()}"
         return [*self._table.metric_lines(), waiting]
 
     def _leaving(self) -> frozenset[str]:
@@ -104,28 +104,30 @@
     def _model_engines(self) -> list[EngineInfo]:
         if not self._hub.leads():
             return []
-        models = {name for name, s in self._services.items() if s.memory is not None}
-        return [e for e in self._view.engines.values() if e.service in models]
+        model_services = {
+            name for name, s in self._services.items() if s.memory is not None
+        }
+        return [e for e in self._view.engines.values() if e.service in model_services]
 
-    def _serve(self) -> None:
+    def _update_placement(self) -> None:
         if self._hub.leads():
             self._table.update_reports(self._reports.of, self._reports.silent())
-            self._home.update()
+            self._placement.update()
 
     def _update(self) -> None:
         if not self._hub.leads():
             return
-        state = current_state(self._replica.state)
-        if state is not None and state["version"] != self._view.version:
-            self._view.version = state["version"]
-            self._services = decode_configuration(state["document"]).services
+        configuration = current_state(self._replica.state)
+        if configuration is not None and configuration["version"] != self._view.version:
+            self._view.version = configuration["version"]
+            self._services = decode_configuration(configuration["document"]).services
         index, data_centres = evacuations(self._replica.state)
         if index != self._view.evacuation_index:
             self._view.evacuation_index = index
             self._view.evacuated = frozenset(data_centres)
-        reading = self._hub.reader.current
-        if reading is not None and reading.stamp != self._view.list_stamp:
-            self._view.list_stamp = reading.stamp
-            self._view.engines = reading.engines
+        engine_list = self._hub.reader.current
+        if engine_list is not None and engine_list.stamp != self._view.list_stamp:
+            self._view.list_stamp = engine_list.stamp
+            self._view.engines = engine_list.engines
             self._table.update_engines()
-        self._home.update()
+        self._placement.update()
--- a/endivesill/platform/metrics_port.py
+++ b/endivesill/platform/metrics_port.py
@@ -1,4 +1,4 @@
-"""Serves a process's metrics as text."""
+"""Serves the metrics of a process as text over HTTP."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from endivesill.platform.settings import NodeSettings
 from endivesill.timer import TimerService
 
-__all__ = ["METRICS_PORT", "MetricsPort"]
+__all__ = ["METRICS_PORT", "MetricsListener"]
 
-# The port that deploy/system.toml names.
+# Must equal the port in deploy/system.toml.
 METRICS_PORT = 9464
 
 
-class MetricsPort:
-    """The listener for metrics.
+class MetricsListener:
+    """Answers every request with the current metrics.
 
     Args:
       timer: the timer service.
       settings: the process's settings.
-      lines: returns the metrics' lines.
+      lines: returns the metric lines, without line ends.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
     ) -> None:
         self._lines = lines
         self._listener = HttpListener(
-            timer, f"{settings.ip}:{METRICS_PORT}", self._answer
+            timer, f"{settings.ip}:{METRICS_PORT}", self._handle
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on the VM's address."""
         await self._listener.start()
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         body = ("\n".join(self._lines()) + "\n").encode()
         exchange.respond(200, [(b"Content-Type", b"text/plain")], body)
--- a/endivesill/platform/operators.py
+++ b/endivesill/platform/operators.py
@@ -1,4 +1,4 @@
-"""Answers the operators' calls: configuration and evacuations."""
+"""Handles calls of operators: configuration and evacuations."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from endivesill.platform.configuration import decode_configuration
 from endivesill.timer import TimerService
 
-__all__ = ["OperatorPort"]
+__all__ = ["OperatorHandler"]
 
-# Operators go to another node after a second without an answer.
-ANSWER_WITHIN_S = 0.85
+# Operators try another node after one second without a response.
+RESPONSE_TIMEOUT_S = 0.85
 
 
-class OperatorPort:
-    """Handles exchanges of the control address.
+class OperatorHandler:
+    """Handles the HTTP exchanges of the control address.
 
     Args:
       timer: the timer service.
@@ -40,17 +40,17 @@
         self._replica = replica
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call; without a sure answer it is a 503."""
+        """Answer one call; the status is 503 if the outcome is not known."""
         path = exchange.target.partition(b"?")[0]
         try:
-            status, document = await self._answer(exchange, path)
+            status, document = await self._dispatch(exchange, path)
         except errors.DocumentError as error:
             status, document = 400, {"error": str(error)}
         except errors.ConflictError as error:
             status, document = 409, {"error": str(error)}
         except errors.EndivesillError as error:
             status, document = 503, {"error": str(error)}
-        self._respond(exchange, status, document)
+        self._send_response(exchange, status, document)
         events.emit(
             CHANGE_ANSWERED,
             call=path.decode("latin-1"),
@@ -60,19 +60,23 @@
             elapsed_s=round(self._timer.now_s() - exchange.received_s, 4),
         )
 
-    async def _answer(self, exchange: Exchange, path: bytes) -> tuple[int, Any]:
+    async def _dispatch(self, exchange: Exchange, path: bytes) -> tuple[int, Any]:
         method = exchange.method
-        if method == "POST" and path == wire.REPLACE_PATH:
-            return 200, await self._replace(exchange.body)
-        if method == "GET" and path == wire.READ_PATH:
-            return await self._read()
-        if method == "POST" and path.startswith(wire.EVACUATE_PREFIX):
-            return 200, await self._evacuate(path, wire.EVACUATE_PREFIX, True)
-        if method == "POST" and path.startswith(wire.TAKE_BACK_PREFIX):
-            return 200, await self._evacuate(path, wire.TAKE_BACK_PREFIX, False)
+        if method == "POST" and path == wire.REPLACE_CONFIGURATION_PATH:
+            return 200, await self._replace_configuration(exchange.body)
+        if method == "GET" and path == wire.GET_CONFIGURATION_PATH:
+            return await self._read_configuration()
+        if method == "POST" and path.startswith(wire.START_EVACUATION_PREFIX):
+            return 200, await self._set_evacuation(
+                path, wire.START_EVACUATION_PREFIX, True
+            )
+        if method == "POST" and path.startswith(wire.END_EVACUATION_PREFIX):
+            return 200, await self._set_evacuation(
+                path, wire.END_EVACUATION_PREFIX, False
+            )
         return 404, {"error": "no such call"}
 
-    async def _replace(self, body: bytes) -> dict[str, Any]:
+    async def _replace_configuration(self, body: bytes) -> dict[str, Any]:
         try:
             document = json.loads(body)
         except ValueError as error:
@@ -83,25 +87,25 @@
             "digest": document_digest(document),
             "document": document,
         }
-        result = await self._replica.propose(REPLACE, message, ANSWER_WITHIN_S)
+        result = await self._replica.propose(REPLACE, message, RESPONSE_TIMEOUT_S)
         if result["outcome"] == ReplaceOutcome.CONFLICT.value:
             raise errors.ConflictError(f"version {version} has other content")
         return {"version": result["version"]}
 
-    async def _read(self) -> tuple[int, Any]:
-        current = await self._replica.query(CURRENT, {}, ANSWER_WITHIN_S)
+    async def _read_configuration(self) -> tuple[int, Any]:
+        current = await self._replica.query(CURRENT, {}, RESPONSE_TIMEOUT_S)
         if not current:
             return 503, {"error": "no configuration yet"}
         return 200, current["document"]
 
-    async def _evacuate(
+    async def _set_evacuation(
         self, path: bytes, prefix: bytes, evacuated: bool
     ) -> dict[str, Any]:
         data_centre = urllib.parse.unquote(path[len(prefix) :].decode("latin-1"))
         message = {"data_centre": data_centre, "evacuated": evacuated}
-        await self._replica.propose(SET_EVACUATION, message, ANSWER_WITHIN_S)
+        await self._replica.propose(SET_EVACUATION, message, RESPONSE_TIMEOUT_S)
         return {}
 
-    def _respond(self, exchange: Exchange, status: int, document: Any) -> None:
+    def _send_response(self, exchange: Exchange, status: int, document: Any) -> None:
         body = json.dumps(document, separators=(",", ":")).encode()
         exchange.respond(status, [(b"Content-Type", b"application/json")], body)
--- a/endivesill/platform/process.py
+++ b/endivesill/platform/process.py
@@ -1,4 +1,4 @@
-"""What both kinds of process share: signals and changes of the settings."""
+"""Signal handling and settings reload, used by both kinds of process."""
 
 from __future__ import annotations
 
@@ -12,68 +12,73 @@
 from endivesill.platform.wire import SETTINGS_PATH, SETTINGS_VARIABLE
 from endivesill.timer import TimerService
 
-__all__ = ["SettingsWatch", "StopSignal", "settings_path"]
+__all__ = ["SettingsWatcher", "StopSignal", "settings_path"]
 
-# The settings file may change without a signal.
-POLL_S = 1.0
+# The platform may replace the settings file without sending a signal.
+POLL_PERIOD_S = 1.0
 
 SETTINGS_RELOADED = events.define(
     1051, "settings-reloaded", "The settings file has changed and was read again."
 )
 SETTINGS_REFUSED = events.define(
-    1052, "settings-refused", "The changed settings file cannot be used; it is not."
+    1052,
+    "settings-refused",
+    "The settings file cannot be read or is invalid; it was ignored.",
 )
 
 
 def settings_path() -> str:
-    """Return the path of this process's settings file."""
+    """Return the path of the settings file, from the environment or the default."""
     return os.environ.get(SETTINGS_VARIABLE, SETTINGS_PATH)
 
 
 class StopSignal:
-    """Waits for SIGTERM.
+    """Waits for SIGTERM or SIGINT.
 
     Args:
       settings: the process's settings.
       timer: the timer service.
+
+    Attributes:
+      received_s: time of the last signal; 0 before the first.
     """
 
     def __init__(self, settings: NodeSettings, timer: TimerService) -> None:
         self._event = asyncio.Event()
         self._timer = timer
-        self.since_s = 0.0
+        self.received_s = 0.0
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._note)
+            loop.add_signal_handler(number, self._handle_signal)
 
-    def _note(self) -> None:
-        self.since_s = self._timer.now_s()
+    def _handle_signal(self) -> None:
+        self.received_s = self._timer.now_s()
         self._event.set()
 
     async def wait(self) -> None:
-        """Wait for the signal."""
+        """Wait until the first signal arrives."""
         await self._event.wait()
 
 
-class SettingsWatch:
-    """Reads the settings again on SIGHUP and when the file changes.
+class SettingsWatcher:
+    """Reloads the settings on SIGHUP and when the file changes.
 
     Args:
       timer: the timer service.
-      changed: called with the new settings.
+      on_change: called with the new settings if they are valid.
     """
 
     def __init__(
-        self, timer: TimerService, changed: Callable[[NodeSettings], None]
+        self, timer: TimerService, on_change: Callable[[NodeSettings], None]
     ) -> None:
-        self._changed = changed
+        self._on_change = on_change
         self._path = settings_path()
-        self._stamp = self._read_stamp()
+        self._file_stamp = self._read_file_stamp()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        timer.call_every(POLL_S, self._poll)
+        timer.call_every(POLL_PERIOD_S, self._poll)
 
-    def _read_stamp(self) -> tuple[int, int]:
+    def _read_file_stamp(self) -> tuple[int, int]:
         try:
             status = os.stat(self._path)
         except OSError as error:
@@ -82,15 +87,15 @@
         return (status.st_mtime_ns, status.st_size)
 
     def _poll(self) -> None:
-        if self._read_stamp() != self._stamp:
+        if self._read_file_stamp() != self._file_stamp:
             self._reload()
 
     def _reload(self) -> None:
-        self._stamp = self._read_stamp()
+        self._file_stamp = self._read_file_stamp()
         try:
             settings = read_settings(self._path)
         except errors.FindingsError as error:
             events.emit(SETTINGS_REFUSED, reason=str(error))
             return
         events.emit(SETTINGS_RELOADED, seeds=settings.seeds)
-        self._changed(settings)
+        self._on_change(settings)
--- a/endivesill/platform/provider.py
+++ b/endivesill/platform/provider.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of engines, page by page."""
+"""Reads the paginated engine list of the platform."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from endivesill.platform.client import PlatformClient
 from endivesill.platform.engines import decode_list_page
 
-__all__ = ["PlatformList"]
+__all__ = ["PlatformEngineList"]
 
 PAGE_TIMEOUT_S = 1.0
-# Share of the allowed calls that one reader uses; for a moment there may be two,
-# while a leader has not noticed yet that it was replaced.
-RATE_SHARE = 0.4
+# Fraction of the permitted call rate that one reader uses. Two VMs may read for a
+# moment, until a replaced leader notices that it no longer leads.
+CALL_RATE_FRACTION = 0.4
 
 
-class PlatformList(ListSource):
-    """The list at the platform's address.
+class PlatformEngineList(ListSource):
+    """The engine list at the platform's address.
 
     Args:
-      client: calls the platform.
-      address: HOST:PORT of the list.
-      calls_per_s: calls that the platform accepts from all VMs together.
+      client: sends the calls.
+      address: HOST:PORT that serves the engine list.
+      calls_per_s: call rate that the platform permits to all VMs together.
     """
 
     def __init__(
@@ -34,17 +34,17 @@
     ) -> None:
         self._client = client
         self._calls_per_s = calls_per_s
-        self._skipped: set[str] = set()
+        self._logged_reasons: set[str] = set()
         self._address = address
 
     async def read(self) -> list[EngineInfo]:
-        """Read all pages; see the base class."""
+        """Read all pages and adapt the read period to their number."""
         engines: list[EngineInfo] = []
         skipped: list[str] = []
         token = ""
-        calls = 0
+        page_count = 0
         while True:
-            calls += 1
+            page_count += 1
             try:
                 body = await self._client.get(
                     self._address, _page_path(token), PAGE_TIMEOUT_S
@@ -56,18 +56,20 @@
             skipped += page.skipped
             token = page.next_token
             if not token:
-                self._note_skipped(skipped)
-                self.shortest_period_s = calls / (RATE_SHARE * self._calls_per_s)
+                self._log_skipped(skipped)
+                self.shortest_period_s = page_count / (
+                    CALL_RATE_FRACTION * self._calls_per_s
+                )
                 return engines
 
-    def _note_skipped(self, reasons: list[str]) -> None:
-        """Log entries that could not be read, once for each reason."""
-        for reason in set(reasons) - self._skipped:
+    def _log_skipped(self, reasons: list[str]) -> None:
+        """Log skipped entries; a reason of the previous read is not repeated."""
+        for reason in set(reasons) - self._logged_reasons:
             events.emit(LIST_ENTRY_SKIPPED, reason=reason)
-        self._skipped = set(reasons)
+        self._logged_reasons = set(reasons)
 
 
 def _page_path(token: str) -> str:
     if not token:
-        return wire.LIST_PATH
-    return f"{wire.LIST_PATH}?page_token={urllib.parse.quote(token)}"
+        return wire.ENGINE_LIST_PATH
+    return f"{wire.ENGINE_LIST_PATH}?page_token={urllib.parse.quote(token)}"
--- a/endivesill/platform/reports.py
+++ b/endivesill/platform/reports.py
@@ -1,4 +1,4 @@
-"""Reads the reports of engines."""
+"""Reads the load reports of engines over HTTP."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def decode_report(body: bytes, read_s: float) -> EngineReport:
-    """Return the report of a body.
+    """Return the report in a response body that was read at `read_s`.
 
     Raises:
-      DocumentError: it cannot be read.
+      DocumentError: the body is not a valid report.
     """
     try:
         reader = Reader(json.loads(body), "report")
@@ -35,11 +35,11 @@
 
 
 class PlatformReports(ReportSource):
-    """Asks engines by HTTP.
+    """Load reports by HTTP GET.
 
     Args:
       timer: the timer service.
-      client: calls the engines.
+      client: sends the calls.
     """
 
     def __init__(self, timer: TimerService, client: PlatformClient) -> None:
@@ -47,7 +47,7 @@
         self._client = client
 
     async def read(self, engine: EngineInfo) -> EngineReport:
-        """Read one report; see the base class."""
+        """Read the report of one engine; an invalid one counts as unavailable."""
         body = await self._client.get(
             engine.address, wire.REPORT_PATH, REPORT_TIMEOUT_S
         )
--- a/endivesill/platform/settings.py
+++ b/endivesill/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform writes for a process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 __all__ = ["Bounds", "NodeSettings", "check_settings", "read_settings"]
 
-# Offset of the peer port in the range that the platform leaves free.
+# Offset of the peer port in the port range that the platform reserves for the
+# system's internal use.
 PEER_PORT_OFFSET = 0
 
 
 @attrs.frozen
 class Bounds:
-    """Times and shares that the platform's rules set.
+    """Limits that the platform sets.
 
     Attributes:
       grace_s: time from SIGTERM to SIGKILL.
-      retry_ratio: repeats allowed for each request to a service.
-      retry_slack: repeats allowed besides, in a window.
-      retry_window_s: the window in which repeats are counted.
-      cold_factor: factor on the rate that a cold target bears.
-      cold_slack: requests a second allowed besides.
+      retry_ratio: retries allowed per request to a service.
+      retry_slack: additional retries allowed in each window.
+      retry_window_s: length of the window in which retries are counted.
+      cold_factor: factor on the request rate of a cold target.
+      cold_slack: additional requests per second allowed to cold targets.
     """
 
     grace_s: float
@@ -41,24 +42,24 @@
 
 @attrs.frozen
 class NodeSettings:
-    """What one process is told at its start.
+    """Settings of one process.
 
     Attributes:
       vm: the VM's name.
       serves: what the process serves: `front`, `control` or both.
-      ip: the VM's address.
-      data_centre: where it is.
-      peer_port: port of the system's own protocol, the same on all VMs.
-      seeds: HOST of some control VMs.
+      ip: the VM's IP address.
+      data_centre: the VM's data centre.
+      peer_port: port of the peer protocol, the same on all VMs.
+      seeds: hosts of some control VMs, without ports.
       is_first_start: whether the whole system starts with empty disks.
-      tolerated_losses: how many control VMs may be lost at once.
-      data_folder: folder of the disk; empty without one.
-      front_address: where callers connect; empty if it serves none.
-      ready_address: where readiness is asked.
-      control_address: where operators connect.
-      list_address: HOST:PORT of the platform's list.
-      list_calls_per_s: calls to the list allowed to all VMs together.
-      bounds: the bounds of the rules.
+      tolerated_losses: how many control VMs may be lost at the same time.
+      data_folder: folder for durable data; empty without a disk.
+      front_address: HOST:PORT for callers; empty if the process serves none.
+      readiness_address: HOST:PORT for readiness checks.
+      control_address: HOST:PORT for operators.
+      engine_list_address: HOST:PORT of the platform's engine list.
+      engine_list_calls_per_s: call rate permitted to all VMs together.
+      bounds: the limits that the platform sets.
     """
 
     vm: str
@@ -71,20 +72,20 @@
     tolerated_losses: int
     data_folder: str
     front_address: str
-    ready_address: str
+    readiness_address: str
     control_address: str
-    list_address: str
-    list_calls_per_s: float
+    engine_list_address: str
+    engine_list_calls_per_s: float
     bounds: Bounds
 
     @property
     def peer_address(self) -> str:
-        """HOST:PORT of this process for its peers."""
+        """HOST:PORT at which peers reach this process."""
         return f"{self.ip}:{self.peer_port}"
 
     @property
     def seed_peers(self) -> tuple[str, ...]:
-        """Peer addresses of the seeds."""
+        """HOST:PORT of the seeds' peer ports."""
         return tuple(f"{host}:{self.peer_port}" for host in self.seeds)
 
 
@@ -92,7 +93,7 @@
     """Read a settings file.
 
     Raises:
-      FindingsError: it cannot be used; all faults are told together.
+      FindingsError: the file is invalid; it holds all findings.
     """
     findings, settings = _parse(path)
     if settings is None:
@@ -101,7 +102,7 @@
 
 
 def check_settings(path: str) -> list[Finding]:
-    """Return what is wrong with a settings file."""
+    """Return the findings of a settings file; empty if it is valid."""
     return _parse(path)[0]
 
 
@@ -112,28 +113,32 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         return [Finding(path, 0, str(error))], None
     fields = _Fields(path, Reader(document, ""), findings)
-    settings = _settings(fields)
+    settings = _decode_settings(fields)
     return findings, None if findings else settings
 
 
 class _Fields:
-    """Reads fields and collects what is wrong with them."""
+    """Reads the fields of a table and collects a finding for each invalid one."""
 
     def __init__(self, path: str, reader: Reader, findings: list[Finding]) -> None:
         self._path = path
         self._reader = reader
         self._findings = findings
 
-    def take(self, method: str, name: str, otherwise: Any, *default: Any) -> Any:
-        """Return a field, or what stands in for one that is at fault."""
+    def read(self, method: str, name: str, fallback: Any, *default: Any) -> Any:
+        """Return the value that a method of `Reader` reads.
+
+        An invalid field adds a finding and gives `fallback`. `default` applies to a
+        missing field; without it the field is required.
+        """
         try:
             return getattr(self._reader, method)(name, *default)
         except errors.DocumentError as error:
             self._findings.append(Finding(self._path, 0, str(error).lstrip(".")))
-            return otherwise
+            return fallback
 
     def table(self, name: str) -> _Fields:
-        """Return the fields of a table."""
+        """Return the fields of a required table; an empty one after a finding."""
         try:
             reader = self._reader.object(name)
         except errors.DocumentError as error:
@@ -142,40 +147,40 @@
         return _Fields(self._path, reader, self._findings)
 
 
-def _settings(fields: _Fields) -> NodeSettings:
+def _decode_settings(fields: _Fields) -> NodeSettings:
     listen = fields.table("listen_addresses")
     cloud = fields.table("cloud")
-    seeds = fields.take("texts", "seeds", [])
-    control_address = listen.take("text", "control", "", "")
+    seeds = fields.read("texts", "seeds", [])
+    control_address = listen.read("text", "control", "", "")
     return NodeSettings(
-        vm=fields.take("text", "node_name", ""),
-        serves=tuple(fields.take("texts", "serves", [])),
-        ip=fields.take("text", "ip", ""),
-        data_centre=fields.take("text", "zone", ""),
-        peer_port=_first_port(fields),
+        vm=fields.read("text", "node_name", ""),
+        serves=tuple(fields.read("texts", "serves", [])),
+        ip=fields.read("text", "ip", ""),
+        data_centre=fields.read("text", "zone", ""),
+        peer_port=_peer_port(fields),
         seeds=tuple(seed.rpartition(":")[0] for seed in seeds),
-        is_first_start=fields.take("flag", "bootstrap", False, False),
-        tolerated_losses=fields.table("fault_tolerance").take(
+        is_first_start=fields.read("flag", "bootstrap", False, False),
+        tolerated_losses=fields.table("fault_tolerance").read(
             "integer", "machines", 0, 0
         ),
-        data_folder=fields.take("text", "data_directory", "", ""),
-        front_address=listen.take("text", "front", "", ""),
-        ready_address=listen.take("text", "ready", "", ""),
+        data_folder=fields.read("text", "data_directory", "", ""),
+        front_address=listen.read("text", "front", "", ""),
+        readiness_address=listen.read("text", "ready", "", ""),
         control_address=control_address,
-        list_address=cloud.take("text", "address", ""),
-        list_calls_per_s=cloud.take("number", "rate_per_s", 1.0, 1.0),
-        bounds=_bounds(fields.table("bounds")),
+        engine_list_address=cloud.read("text", "address", ""),
+        engine_list_calls_per_s=cloud.read("number", "rate_per_s", 1.0, 1.0),
+        bounds=_decode_bounds(fields.table("bounds")),
     )
 
 
-def _first_port(fields: _Fields) -> int:
-    ports = fields.take("integers", "internal_port_range", [0])
+def _peer_port(fields: _Fields) -> int:
+    ports = fields.read("integers", "internal_port_range", [0])
     return ports[0] + PEER_PORT_OFFSET
 
 
-def _bounds(fields: _Fields) -> Bounds:
+def _decode_bounds(fields: _Fields) -> Bounds:
     def number(name: str, default: float) -> float:
-        return fields.take("number", name, default, default)
+        return fields.read("number", name, default, default)
 
     return Bounds(
         grace_s=number("grace_s", 8.0),
--- a/endivesill/platform/wire.py
+++ b/endivesill/platform/wire.py
@@ -1,39 +1,40 @@
-"""Names on the platform's wire, each with what it holds."""
+"""Names of the platform's wire protocol and the meaning of their values."""
 
-# Headers. HTTP header names are compared in lower case.
+# Header names, in lower case for comparison.
 
-# Names one attempt of a caller; a caller's own retry has another one.
+# Id of one attempt of a caller; a retry by the caller has another id.
 ATTEMPT_ID = b"x-endivesill-request-attempt-id"
-# Milliseconds that the caller will still wait.
+# Milliseconds left until the caller's deadline.
 DEADLINE = b"x-endivesill-deadline-remaining"
-# "ID:TOKENS,..." from the start of the prompt; the last part is the session's.
+# "ID:TOKENS,..." for the parts of the prompt in order; the last is the session's.
 PROMPT_PREFIX = b"x-endivesill-prompt-prefix"
-# "PROMPT,MAXIMUM": prompt tokens and the most output tokens.
+# "PROMPT,MAXIMUM": number of prompt tokens and maximum of output tokens.
 TOKEN_COUNTS = b"x-endivesill-token-counts"
-# The caller's estimate of the output tokens; right at the median only.
+# The caller's estimate of the output tokens; accurate only at the median.
 LENGTH_HINT = b"x-endivesill-length-hint"
-# The engine did not run the request and will not.
+# The engine has not run the request and will not run it.
 NOT_EXECUTED = b"x-endivesill-not-executed"
-# The identity that the engine must have to run the request.
+# Identity of the engine that must run the request; any other rejects it.
 EXPECTED_INSTANCE = b"x-endivesill-expected-instance"
-# Name of the organisation that holds the request's key.
+# Name of the organisation to which the request's API key belongs.
 ORGANISATION = b"x-endivesill-tenant"
 API_KEY = b"api-key"
-# 0 (first) to 9.
+# 0 (most urgent) to 9.
 URGENCY = b"x-endivesill-request-urgency"
-# HOST:PORT of the engine that gets a copy of the run's memory.
+# HOST:PORT of the engine that receives a copy of the run's KV cache.
 KV_BACKUP = b"x-endivesill-kv-backup"
-# HOST:PORT/ID of a copy to go on from.
+# HOST:PORT/ID of the copy from which the run resumes.
 KV_FROM = b"kv-from"
 KV_FETCH = b"kv-fetch"
 HOLD = b"x-endivesill-hold"
 PIN_DURATION = b"x-endivesill-pin-duration"
 LAST_EVENT_ID = b"last-event-id"
 RETRY_AFTER = b"retry-after"
-# On the answer of a health check: the identity of the engine that answers.
+# In the response to a health check: identity of the responding engine.
 INSTANCE_ID = b"x-endivesill-instance-id"
 
-# What only this system may set on a request to an engine.
+# Headers that only this system sets on a request to an engine; those that a
+# caller sends are removed.
 SYSTEM_HEADERS = frozenset(
     {
         API_KEY,
@@ -49,17 +50,17 @@
     }
 )
 
-# Calls to this system.
-REPLACE_PATH = b"/Configuration.Replace"
-READ_PATH = b"/Configuration.Get"
-EVACUATE_PREFIX = b"/Evacuation.Start/"
-TAKE_BACK_PREFIX = b"/Evacuation.End/"
+# Paths of the operators' calls to this system.
+REPLACE_CONFIGURATION_PATH = b"/Configuration.Replace"
+GET_CONFIGURATION_PATH = b"/Configuration.Get"
+START_EVACUATION_PREFIX = b"/Evacuation.Start/"
+END_EVACUATION_PREFIX = b"/Evacuation.End/"
 
-# Calls to the platform and to engines.
-LIST_PATH = "/instances"
+# Paths of this system's calls to the platform and to engines.
+ENGINE_LIST_PATH = "/instances"
 REPORT_PATH = "/report"
-MOVE_PATH = b"/kv-move"
-COPY_PREFIX = b"/kv-handle/"
+KV_MOVE_PATH = b"/kv-move"
+KV_HANDLE_PREFIX = b"/kv-handle/"
 
 SETTINGS_VARIABLE = "ENDIVESILL_NODE_FILE"
 SETTINGS_PATH = "/etc/endivesill/local.toml"
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's names stay in the adapter's folder."""
+"""Tests that the platform's wire names are confined to the adapter package."""
 
 import pathlib
 import re
@@ -16,18 +16,18 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    def test_no_wire_name_stands_outside_the_adapter(self):
+    def test_wire_names_are_used_only_in_the_adapter(self):
         found = []
         for path in sorted(PACKAGE.rglob("*.py")):
-            place = path.relative_to(PACKAGE)
-            if place.parts[0] == "platform":
+            relative = path.relative_to(PACKAGE)
+            if relative.parts[0] == "platform":
                 continue
             for number, line in enumerate(path.read_text().splitlines(), start=1):
                 if WIRE_NAMES.search(line):
-                    found.append(f"{place}:{number}: {line.strip()}")
+                    found.append(f"{relative}:{number}: {line.strip()}")
         self.assertEqual([], found)
 
-    def test_nothing_outside_imports_the_adapter(self):
+    def test_only_porcelain_imports_the_adapter(self):
         found = [
             str(path.relative_to(PACKAGE))
             for path in sorted(PACKAGE.rglob("*.py"))
@@ -36,7 +36,7 @@
         ]
         self.assertEqual([], found)
 
-    def test_the_adapter_is_small(self):
+    def test_the_adapter_stays_below_its_size_limit(self):
         lines = sum(
             len(path.read_text().splitlines())
             for path in (PACKAGE / "platform").glob("*.py")
--- a/tests/test_platform_check.py
+++ b/tests/test_platform_check.py
@@ -1,4 +1,4 @@
-"""Tests of the check of the platform's files."""
+"""Tests of the validation of settings and deploy files."""
 
 import pathlib
 import tempfile
@@ -14,18 +14,18 @@
 class DeployTest(unittest.TestCase):
     def findings(self, *changes):
         text = DEPLOY.read_text(encoding="utf-8")
-        for before, after in changes:
-            self.assertIn(before, text)
-            text = text.replace(before, after)
+        for old, new in changes:
+            self.assertIn(old, text)
+            text = text.replace(old, new)
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "system.toml"
             path.write_text(text, encoding="utf-8")
             return [finding.text for finding in check_deploy(str(path))]
 
-    def test_the_projects_own_file_has_none(self):
+    def test_the_deploy_file_of_this_repository_is_valid(self):
         self.assertEqual([], check_deploy(str(DEPLOY)))
 
-    def test_all_findings_are_told_together(self):
+    def test_all_findings_are_reported_together(self):
         found = self.findings(
             ("endivesill.platform entry", "endivesill.platform nothing"),
             ('serves = ["control"]', 'serves = ["front"]'),
@@ -35,10 +35,10 @@
         self.assertEqual(7, len(found), found)
         self.assertIn("no role serves 'control'", found[-1])
 
-    def test_a_file_that_cannot_be_read(self):
+    def test_an_unreadable_file_is_one_finding(self):
         self.assertEqual(1, len(check_deploy("/nowhere/system.toml")))
 
-    def test_a_file_without_roles(self):
+    def test_a_file_without_roles_or_build(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "system.toml"
             path.write_text("roles = 7\n", encoding="utf-8")
@@ -46,7 +46,7 @@
 
 
 class PorcelainTest(unittest.TestCase):
-    def test_one_file_at_least_is_named(self):
+    def test_at_least_one_file_is_required(self):
         with self.assertRaises(errors.EndivesillError):
             porcelain.platform_check(None, None)
         self.assertEqual([], porcelain.platform_check(None, str(DEPLOY)))
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' configuration: what is refused, what is decoded."""
+"""Tests of decoding and validation of configuration documents."""
 
 import copy
 import unittest
@@ -49,63 +49,67 @@
 
 
 class DecodeTest(unittest.TestCase):
-    def test_names_become_the_projects(self):
-        state = decode_configuration(DOCUMENT)
-        stream, split = state.routes
-        self.assertEqual(RequestKind.STREAMING, stream.kind)
-        self.assertEqual("x.example", stream.host)
+    def test_a_document_is_decoded(self):
+        configuration = decode_configuration(DOCUMENT)
+        streaming, weighted = configuration.routes
+        self.assertEqual(RequestKind.STREAMING, streaming.kind)
+        self.assertEqual("x.example", streaming.host)
         self.assertEqual(
             (6.0, 1.5, 0.18),
-            (stream.timeout_s, stream.target_latency_s, stream.gap_target_s),
+            (streaming.timeout_s, streaming.target_latency_s, streaming.gap_target_s),
         )
-        self.assertEqual([90, 10], [share.weight for share in split.shares])
-        self.assertEqual(24, state.services["llm"].memory.slots)
-        self.assertIsNone(state.services["app"].memory)
-        self.assertEqual(("k1", "k2"), state.organisations[0].keys)
-        self.assertEqual(100, state.header_bytes)
+        self.assertEqual([90, 10], [share.weight for share in weighted.shares])
+        self.assertEqual(24, configuration.services["llm"].memory.slots)
+        self.assertIsNone(configuration.services["app"].memory)
+        self.assertEqual(("k1", "k2"), configuration.organisations[0].keys)
+        self.assertEqual(100, configuration.header_bytes)
 
 
 class InvalidTest(unittest.TestCase):
-    def refused(self, change, text):
+    def assert_rejected(self, edit, text):
         document = copy.deepcopy(DOCUMENT)
-        change(document)
+        edit(document)
         with self.assertRaises(errors.DocumentError) as caught:
             decode_configuration(document)
         self.assertIn(text, str(caught.exception))
 
-    def test_an_unknown_service(self):
-        self.refused(lambda d: d["routes"][0].update(service="x"), "no service 'x'")
+    def test_unknown_service(self):
+        self.assert_rejected(
+            lambda d: d["routes"][0].update(service="x"), "no service 'x'"
+        )
 
-    def test_two_routes_at_one_place(self):
-        def change(document):
+    def test_two_routes_with_the_same_host_and_prefix(self):
+        def edit(document):
             document["routes"][1].update(host="X.EXAMPLE", path_prefix="/a/")
 
-        self.refused(change, "the place is taken")
+        self.assert_rejected(edit, "the place is taken")
 
-    def test_weights_that_add_up_to_nothing(self):
-        def change(document):
+    def test_weights_with_a_sum_of_zero(self):
+        def edit(document):
             for share in document["routes"][1]["traffic_split"]:
                 share["weight"] = 0
 
-        self.refused(change, "add up to 0")
+        self.assert_rejected(edit, "add up to 0")
 
-    def test_a_timeout_of_nothing(self):
-        self.refused(lambda d: d["routes"][0].update(timeout_ms=0), "timeout_ms")
+    def test_zero_timeout(self):
+        self.assert_rejected(
+            lambda d: d["routes"][0].update(timeout_ms=0), "timeout_ms"
+        )
 
-    def test_a_key_of_two_organisations(self):
-        def change(document):
+    def test_key_shared_by_two_organisations(self):
+        def edit(document):
             document["tenants"].append({"name": "o2", "api_keys": ["k2"]})
 
-        self.refused(change, "share a key")
+        self.assert_rejected(edit, "share a key")
 
-    def test_fields_that_are_missing_or_of_another_type(self):
-        self.refused(lambda d: d.pop("version"), "version: missing")
-        self.refused(lambda d: d.update(version="7"), "version")
-        self.refused(lambda d: d.update(version=True), "version")
-        self.refused(lambda d: d.update(routes={}), "routes")
-        self.refused(lambda d: d["routes"][0].update(kind="odd"), "no kind")
+    def test_missing_or_mistyped_fields(self):
+        self.assert_rejected(lambda d: d.pop("version"), "version: missing")
+        self.assert_rejected(lambda d: d.update(version="7"), "version")
+        self.assert_rejected(lambda d: d.update(version=True), "version")
+        self.assert_rejected(lambda d: d.update(routes={}), "routes")
+        self.assert_rejected(lambda d: d["routes"][0].update(kind="odd"), "no kind")
 
-    def test_what_is_no_object(self):
+    def test_documents_that_are_not_objects(self):
         for document in (None, [], 7, "x"):
             with self.assertRaises(errors.DocumentError):
                 decode_configuration(document)
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -1,4 +1,4 @@
-"""Tests of the heads and pages that the adapter reads and writes."""
+"""Tests of engine list pages, reports, and request and response heads."""
 
 import json
 import unittest
@@ -21,7 +21,7 @@
 }
 
 
-class ListTest(unittest.TestCase):
+class EngineListPageTest(unittest.TestCase):
     def page(self, *entries, **fields):
         document = {"instances": list(entries), "next": None, **fields}
         return decode_list_page(json.dumps(document).encode())
@@ -33,12 +33,12 @@
         self.assertEqual((1.5, False), (engine.cold_s, engine.is_draining))
         self.assertEqual("p-50", page.next_token)
 
-    def test_the_same_name_with_another_start_is_another_boot(self):
+    def test_a_restarted_engine_has_another_incarnation(self):
         page = self.page(ENTRY, {**ENTRY, "born": 1800})
         self.assertEqual(2, len({engine.incarnation for engine in page.engines}))
 
-    def test_entries_of_another_writer_leave_the_others_as_they_are(self):
-        odd = [
+    def test_invalid_entries_are_skipped(self):
+        invalid = [
             7,
             None,
             {},
@@ -47,11 +47,11 @@
             {**ENTRY, "slots": "24"},
             {**ENTRY, "id": 1},
         ]
-        page = self.page(*odd, ENTRY)
+        page = self.page(*invalid, ENTRY)
         self.assertEqual(["i-1"], [engine.identity for engine in page.engines])
-        self.assertEqual(len(odd), len(page.skipped))
+        self.assertEqual(len(invalid), len(page.skipped))
 
-    def test_a_page_that_cannot_be_read(self):
+    def test_an_invalid_page_is_rejected(self):
         for body in (b"", b"[", b"[]", b"7", b"{}", b'{"instances": {}}'):
             with self.assertRaises(errors.DocumentError):
                 decode_list_page(body)
@@ -71,12 +71,12 @@
             ),
         )
 
-    def test_notice_is_an_end_at_a_known_time(self):
+    def test_notice_is_a_known_time_of_departure(self):
         body = b'{"kv_used": 1, "queued_requests": 0, "state": "draining"%s}'
         self.assertFalse(decode_report(body % b"", 5.0).has_notice)
         self.assertTrue(decode_report(body % b', "leaves_ms": 900', 5.0).has_notice)
 
-    def test_a_report_that_cannot_be_read(self):
+    def test_an_invalid_report_is_rejected(self):
         for body in (b"", b"{}", b"[]"):
             with self.assertRaises(errors.DocumentError):
                 decode_report(body, 0.0)
@@ -86,7 +86,7 @@
     def setUp(self):
         self.protocol = PlatformProtocol()
 
-    def test_what_routing_needs_is_decoded(self):
+    def test_routing_properties_are_decoded(self):
         info = self.protocol.decode_request(
             [
                 (b"x-endivesill-request-attempt-id", b"a1"),
@@ -108,7 +108,7 @@
         self.assertEqual((("5c", 800), ("91", 410)), info.prefix)
         self.assertEqual("91", info.session)
 
-    def test_values_that_cannot_be_read_count_as_absent(self):
+    def test_invalid_values_count_as_absent(self):
         info = self.protocol.decode_request(
             [
                 (b"X-Endivesill-Deadline-Remaining", b"soon"),
@@ -120,11 +120,11 @@
         self.assertEqual(0, info.prompt_tokens)
         self.assertEqual((("5c", 800),), info.prefix)
 
-    def test_a_key_that_comes_twice_is_none(self):
+    def test_a_repeated_key_header_counts_as_no_key(self):
         info = self.protocol.decode_request([(b"Api-Key", b"a"), (b"Api-Key", b"b")])
         self.assertEqual("", info.key)
 
-    def test_a_resumed_run_has_one_last_event(self):
+    def test_a_resumed_run_has_one_last_event_id(self):
         dispatch = Dispatch("i-1", 1.0, resume_from="10.0.0.1:1/a1", last_event_id="3")
         head = self.protocol.encode_request(
             "POST", b"/x", [(b"Last-Event-Id", b"99")], dispatch
@@ -133,14 +133,14 @@
         self.assertIn(b"Last-Event-Id: 3\r\n", head)
 
 
-class AnswerTest(unittest.TestCase):
-    def answer(self, status, *headers):
+class ResponseTest(unittest.TestCase):
+    def decode(self, status, *headers):
         head = ResponseHead(status, list(headers), True)
         return PlatformProtocol().decode_answer(head)
 
-    def test_only_the_engine_says_that_a_request_was_not_run(self):
-        self.assertFalse(self.answer(503).not_run)
-        self.assertFalse(self.answer(500).not_run)
-        self.assertTrue(self.answer(421).not_run)
-        said = (b"X-Endivesill-Not-Executed", b"1")
-        self.assertTrue(self.answer(503, said).not_run)
+    def test_only_the_engine_reports_that_a_request_was_not_run(self):
+        self.assertFalse(self.decode(503).not_run)
+        self.assertFalse(self.decode(500).not_run)
+        self.assertTrue(self.decode(421).not_run)
+        not_executed = (b"X-Endivesill-Not-Executed", b"1")
+        self.assertTrue(self.decode(503, not_executed).not_run)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -7,7 +7,7 @@
 from endivesill import errors
 from endivesill.platform.settings import check_settings, read_settings
 
-CORE = """
+CONTROL_VM = """
 node_name = "core-1"
 role = "control"
 serves = ["control"]
@@ -48,8 +48,8 @@
         self.write(text)
         return [finding.text for finding in check_settings(self.path)]
 
-    def test_a_control_vm_knows_its_peers_and_bounds(self):
-        self.write(CORE)
+    def test_the_settings_of_a_control_vm_are_decoded(self):
+        self.write(CONTROL_VM)
         settings = read_settings(self.path)
         self.assertEqual("10.1.0.24:7200", settings.peer_address)
         self.assertEqual(("10.1.0.24:7200", "10.2.0.22:7200"), settings.seed_peers)
@@ -60,8 +60,8 @@
         )
         self.assertEqual("", settings.front_address)
 
-    def test_all_faults_are_told_together(self):
-        text = CORE.replace('zone = "west-a"', "zone = 7").replace(
+    def test_all_findings_are_reported_together(self):
+        text = CONTROL_VM.replace('zone = "west-a"', "zone = 7").replace(
             'address = "10.200.0.63:8742"', ""
         )
         findings = self.findings(text)
@@ -71,9 +71,9 @@
         with self.assertRaises(errors.FindingsError):
             read_settings(self.path)
 
-    def test_a_file_that_is_no_toml_or_missing(self):
+    def test_an_invalid_or_missing_file_is_one_finding(self):
         self.assertEqual(1, len(self.findings("a = [")))
         self.assertEqual(1, len(check_settings(self.path + ".missing")))
 
-    def test_fields_that_are_not_known_are_passed_over(self):
-        self.assertEqual([], self.findings(CORE))
+    def test_unknown_fields_are_ignored(self):
+        self.assertEqual([], self.findings(CONTROL_VM))
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,7 +1,7 @@
-"""The platform's soak: its checks, its schedule, and one short seeded run.
+"""Tests of the platform soak: fault schedule, checks, and one short seeded run.
 
-The run starts the real programs; it judges what callers, operators and targets have
-seen, and nothing that depends on how fast this machine is.
+The run starts the real processes. It checks what callers, operators and targets
+observed, and nothing that depends on the speed of the machine.
 """
 
 import os
@@ -15,7 +15,7 @@
 from bench.platform_soak_fleet import SoakFleet
 
 SHORT_FAULT_S = 4.0
-# Beyond those of runs by hand; two runs of the tests on one machine differ.
+# Above the numbers of manual runs; differs between test runs on one machine.
 FLEET_NUMBER = 30_000 + os.getpid() % 30_000
 
 
@@ -24,7 +24,7 @@
         self.assertEqual(make_faults(5, 30.0), make_faults(5, 30.0))
         self.assertNotEqual(make_faults(5, 30.0), make_faults(6, 30.0))
 
-    def test_each_kind_comes_before_any_comes_twice(self):
+    def test_each_kind_occurs_before_any_occurs_twice(self):
         faults = make_faults(5, 60.0)
         kinds = len({fault.action for fault in faults})
         first = [fault.action for fault in faults[:kinds]]
@@ -36,38 +36,38 @@
     def setUp(self):
         self.soak = Soak(1, 1.0)
 
-    def findings(self, kind, status, runs, *, is_right=False):
+    def count_findings(self, kind, status, runs, *, is_right=False):
         record = CallRecord("a1", kind, "entry-a", 0.0, 1.0, status, is_right)
         self.soak._check_record(record, runs)
         return len(self.soak.findings)
 
-    def test_what_is_as_promised(self):
-        self.findings("unsafe", 200, 1, is_right=True)
-        self.findings("safe", 200, 2, is_right=True)
-        self.findings("unsafe", 503, 0)
-        self.findings("unsafe", 502, 1)
-        self.assertEqual(0, self.findings("streaming", 0, 1))
+    def test_permitted_outcomes(self):
+        self.count_findings("unsafe", 200, 1, is_right=True)
+        self.count_findings("safe", 200, 2, is_right=True)
+        self.count_findings("unsafe", 503, 0)
+        self.count_findings("unsafe", 502, 1)
+        self.assertEqual(0, self.count_findings("streaming", 0, 1))
 
-    def test_a_request_that_ran_twice(self):
-        self.assertEqual(1, self.findings("unsafe", 502, 2))
+    def test_an_unsafe_request_that_ran_twice(self):
+        self.assertEqual(1, self.count_findings("unsafe", 502, 2))
 
-    def test_a_refusal_that_ran(self):
-        self.assertEqual(1, self.findings("streaming", 503, 1))
+    def test_a_refused_request_that_ran(self):
+        self.assertEqual(1, self.count_findings("streaming", 503, 1))
 
-    def test_an_answer_of_another_request(self):
-        self.assertEqual(1, self.findings("safe", 200, 1))
+    def test_a_response_to_another_request(self):
+        self.assertEqual(1, self.count_findings("safe", 200, 1))
 
-    def test_a_denial(self):
-        self.assertEqual(1, self.findings("safe", 404, 0))
+    def test_a_not_found_response(self):
+        self.assertEqual(1, self.count_findings("safe", 404, 0))
 
-    def test_what_is_not_served_again(self):
+    def test_service_that_does_not_recover(self):
         records = [CallRecord("a", "safe", "entry-a", 20.0, 21.0, 503)] * 4
         self.soak._check_records(records, 10.0)
         self.assertEqual(1, len(self.soak.findings))
 
 
 class FleetTest(unittest.TestCase):
-    def test_a_process_that_runs_is_not_started_again(self):
+    def test_a_running_process_is_not_started_again(self):
         with tempfile.TemporaryDirectory() as folder:
             fleet = SoakFleet(
                 pathlib.Path(folder) / "soak", FLEET_NUMBER, "127.0.0.1:1"
