--- a/endivesill/http1/__init__.py
+++ b/endivesill/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections with full control over their life, on asyncio."""
+"""HTTP/1.1 client and server connections on asyncio, with explicit control of reuse."""
 
 from endivesill.http1.client import (
     ConnectionPool,
--- a/endivesill/http1/client.py
+++ b/endivesill/http1/client.py
@@ -1,7 +1,7 @@
-"""The client side of HTTP/1.1: one request at a time on a connection.
+"""HTTP/1.1 client connections: one request at a time, without pipelining.
 
-A connection is used again only after a clean and complete answer that ended
-where its framing said.
+A connection is reused only if its last response was complete, ended where its
+framing said, and was not followed by further bytes.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 
 from endivesill import errors
 from endivesill.http1.head import Headers, header_value, header_values
-from endivesill.http1.sockets import set_options
+from endivesill.http1.sockets import set_socket_options
 from endivesill.timer import TimerService
 
 __all__ = ["ConnectionPool", "ResponseHead", "UpstreamConnection", "UpstreamError"]
 
-# Body bytes that may wait for the reader before the connection is paused.
-BUFFER_BYTES = 262_144
+# Unread body bytes above which reading from the connection is paused.
+MAX_BUFFERED_BYTES = 262_144
 TLS_PREFIX = "https://"
-# Kept back from the time that the peer says it keeps an idle connection.
+# Subtracted from the idle timeout that the peer announces, so that no request is
+# sent while the peer closes the connection.
 KEEP_ALIVE_MARGIN_S = 0.5
 
 
 class UpstreamError(errors.EndivesillError):
-    """A request that got no complete answer.
+    """A request without a complete response.
 
     Attributes:
       sent: whether a byte of the request may have reached the peer.
@@ -42,12 +43,13 @@
 
 @attrs.frozen
 class ResponseHead:
-    """The head of an answer.
+    """The head of a response.
 
     Attributes:
-      status: its status.
-      headers: its headers as they were sent.
-      framed: whether its end shows before the end of the connection.
+      status: the status code.
+      headers: the headers as received, in order.
+      framed: whether the end of the body is known without the end of the
+        connection.
     """
 
     status: int
@@ -55,25 +57,25 @@
     framed: bool
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header, or empty bytes."""
+        """Return the first value of a header (name in lower case), or empty bytes."""
         return header_value(self.headers, name)
 
 
 @attrs.define(eq=False)
-class _Answer:
-    """One answer that is being read.
+class _Response:
+    """A response that is being received.
 
     Attributes:
-      headers: the headers so far.
-      head: the head, once it is complete.
-      pieces: parts of the body that nobody has read yet.
-      buffered_bytes: their length.
-      is_complete: whether the answer has ended as its framing says.
+      headers: the headers received so far.
+      head: the head; None until it is complete.
+      body_parts: received parts of the body that have not been read.
+      buffered_bytes: total length of the body parts.
+      is_complete: whether the response has ended as its framing says.
     """
 
     headers: Headers = attrs.Factory(list)
     head: ResponseHead | None = None
-    pieces: collections.deque[bytes] = attrs.Factory(collections.deque)
+    body_parts: collections.deque[bytes] = attrs.Factory(collections.deque)
     buffered_bytes: int = 0
     is_complete: bool = False
 
@@ -86,9 +88,10 @@
       address: the peer's HOST:PORT.
 
     Attributes:
-      reusable: whether the last exchange left the connection clean.
+      reusable: False once something rules out another request.
       idle_since_s: when the last exchange ended.
-      idle_limit_s: how long the peer keeps the idle connection, if it says so.
+      peer_idle_timeout_s: idle timeout that the peer announced, less a margin;
+        infinite without one.
     """
 
     def __init__(self, timer: TimerService, address: str) -> None:
@@ -97,62 +100,62 @@
         self.transport: Any = None
         self.reusable = True
         self.idle_since_s = timer.now_s()
-        self.idle_limit_s = float("inf")
+        self.peer_idle_timeout_s = float("inf")
         self._lost = False
-        self._busy = False
+        self._in_exchange = False
         self._reset()
 
     def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        # The first is the one that is read now. A peer may send one that belongs
-        # to another request before the right one, or one more after it.
-        self._answers = collections.deque([_Answer()])
+        # The first response is the one that is being read. A peer may send a
+        # response to another request before it, or another response after it.
+        self._responses = collections.deque([_Response()])
         self._failure: str | None = None
-        self._changed = asyncio.Event()
-        self._no_body = False
+        self._updated = asyncio.Event()
+        self._expects_no_body = False
 
     # asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set its socket options."""
         self.transport = transport
-        set_options(transport)
+        set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the answer; an idle connection must not get any."""
-        if not self._busy:
-            self._spoil()
+        """Parse response bytes; bytes on an idle connection close it."""
+        if not self._in_exchange:
+            self._invalidate()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # What comes after a complete answer does not take the answer back.
+            # Invalid bytes after a complete response do not invalidate the response.
             self._fail(f"no HTTP answer: {error!r}")
-            self._spoil()
-        self._changed.set()
+            self._invalidate()
+        self._updated.set()
 
     def eof_received(self) -> bool:
-        """Take the end of the stream; it ends an answer without a length."""
-        self._note_end(clean=True)
+        """Handle the end of the stream; it completes a response without framing."""
+        self._handle_disconnect(is_eof=True)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the loss of the connection; it completes nothing."""
-        self._note_end(clean=False)
+        """Handle the loss of the connection; it never completes a response."""
+        self._handle_disconnect(is_eof=False)
         self._lost = True
 
-    def _note_end(self, *, clean: bool) -> None:
+    def _handle_disconnect(self, *, is_eof: bool) -> None:
         self.reusable = False
-        newest = self._answers[-1]
-        if clean and newest.head is not None and not newest.head.framed:
-            newest.is_complete = True
+        last_response = self._responses[-1]
+        if is_eof and last_response.head is not None and not last_response.head.framed:
+            last_response.is_complete = True
         self._fail("the connection ended")
 
     def _fail(self, reason: str) -> None:
         self._failure = self._failure or reason
-        self._changed.set()
+        self._updated.set()
 
-    def _spoil(self) -> None:
+    def _invalidate(self) -> None:
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
@@ -160,68 +163,68 @@
     # httptools callbacks.
 
     def on_message_begin(self) -> None:
-        """Begin an answer after the answer."""
-        if self._answers[-1].is_complete:
+        """Start another response after a complete one; rules out reuse."""
+        if self._responses[-1].is_complete:
             self.reusable = False
-            self._answers.append(_Answer())
+            self._responses.append(_Response())
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailer fields are dropped."""
-        answer = self._answers[-1]
-        if answer.head is None:
-            answer.headers.append((name, value))
+        """Add a header; trailer fields are dropped."""
+        response = self._responses[-1]
+        if response.head is None:
+            response.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take the head."""
-        answer = self._answers[-1]
+        """Store the head; an interim response (1xx) is dropped."""
+        response = self._responses[-1]
         status = self._parser.get_status_code()
         if status < 200:
-            answer.headers = []
+            response.headers = []
             return
-        lengths = header_values(answer.headers, b"content-length")
-        codings = header_values(answer.headers, b"transfer-encoding")
+        lengths = header_values(response.headers, b"content-length")
+        codings = header_values(response.headers, b"transfer-encoding")
         framed = bool(lengths or codings) or status in (204, 304)
-        answer.head = ResponseHead(status, answer.headers, framed)
+        response.head = ResponseHead(status, response.headers, framed)
         if not framed or len(lengths) > 1 or (lengths and codings):
             self.reusable = False
         if not self._parser.should_keep_alive():
             self.reusable = False
-        self._note_keep_alive(answer.headers)
-        if self._no_body:
-            answer.is_complete = True
+        self._parse_keep_alive(response.headers)
+        if self._expects_no_body:
+            response.is_complete = True
             self.reusable = False
-        self._changed.set()
+        self._updated.set()
 
-    def _note_keep_alive(self, headers: Headers) -> None:
+    def _parse_keep_alive(self, headers: Headers) -> None:
         for part in header_value(headers, b"keep-alive").split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                self.idle_limit_s = max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
+                self.peer_idle_timeout_s = max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        answer = self._answers[-1]
-        if answer.is_complete:
+        """Buffer a part of the body; pause reading above the limit."""
+        response = self._responses[-1]
+        if response.is_complete:
             return
-        answer.pieces.append(body)
-        answer.buffered_bytes += len(body)
-        if answer.buffered_bytes > BUFFER_BYTES:
+        response.body_parts.append(body)
+        response.buffered_bytes += len(body)
+        if response.buffered_bytes > MAX_BUFFERED_BYTES:
             self.transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer."""
-        answer = self._answers[-1]
-        if answer.head is not None and answer.head.framed:
-            answer.is_complete = True
+        """Mark a framed response as complete."""
+        response = self._responses[-1]
+        if response.head is not None and response.head.framed:
+            response.is_complete = True
 
-    # The exchange.
+    # Exchanges.
 
     def send(self, data: bytes, *, no_body: bool = False) -> None:
-        """Send a whole request.
+        """Send a complete request.
 
         Args:
-          data: the bytes of its head and body.
-          no_body: whether the answer has no body whatever its head says.
+          data: the encoded head and body.
+          no_body: whether the response has no body, whatever its head says (HEAD).
 
         Raises:
           UpstreamError: the connection is closed; nothing was sent.
@@ -229,93 +232,100 @@
         if self._lost or not self.reusable or self.transport.is_closing():
             raise UpstreamError("the connection was closed while idle", sent=False)
         self._reset()
-        self._no_body = no_body
-        self._busy = True
+        self._expects_no_body = no_body
+        self._in_exchange = True
         self.transport.write(data)
 
     async def head(self) -> ResponseHead:
-        """Wait for the head of the answer.
+        """Wait for the head of the response.
 
         Raises:
-          UpstreamError: the connection broke first.
+          UpstreamError: the connection failed before the head was complete.
         """
-        answer = self._answers[0]
-        while answer.head is None:
+        response = self._responses[0]
+        while response.head is None:
             await self._wait_for_more()
-        return answer.head
+        return response.head
 
     async def read(self) -> bytes:
         """Return the next part of the body; empty bytes at its end.
 
         Raises:
-          UpstreamError: the answer broke off.
+          UpstreamError: the connection failed before the response was complete.
         """
-        answer = self._answers[0]
-        while not answer.pieces:
-            if answer.is_complete:
+        response = self._responses[0]
+        while not response.body_parts:
+            if response.is_complete:
                 return b""
             await self._wait_for_more()
-        data = b"".join(answer.pieces)
-        answer.pieces.clear()
-        if answer.buffered_bytes > BUFFER_BYTES and not self._lost:
+        data = b"".join(response.body_parts)
+        response.body_parts.clear()
+        if response.buffered_bytes > MAX_BUFFERED_BYTES and not self._lost:
             self.transport.resume_reading()
-        answer.buffered_bytes = 0
+        response.buffered_bytes = 0
         return data
 
     async def _wait_for_more(self) -> None:
         if self._failure is not None:
             raise UpstreamError(self._failure, sent=True)
-        self._changed.clear()
-        await self._changed.wait()
+        self._updated.clear()
+        await self._updated.wait()
 
     async def read_all(self) -> bytes:
-        """Return the whole body."""
+        """Return the rest of the body.
+
+        Raises:
+          UpstreamError: the connection failed before the response was complete.
+        """
         parts = []
         while part := await self.read():
             parts.append(part)
         return b"".join(parts)
 
     def skip_response(self) -> None:
-        """Drop a complete answer to another request; the next one is read then."""
-        self._answers.popleft()
-        if not self._answers:
-            self._answers.append(_Answer())
+        """Drop a complete response to another request and continue with the next."""
+        self._responses.popleft()
+        if not self._responses:
+            self._responses.append(_Response())
 
     def end_exchange(self) -> bool:
-        """End the exchange; return whether the connection can be used again."""
-        if not self._busy:
+        """End the exchange; close the connection and return False if not reusable."""
+        if not self._in_exchange:
             return self.is_usable(float("inf"))
-        self._busy = False
+        self._in_exchange = False
         self.idle_since_s = self._timer.now_s()
-        # A body that the peer answered before it had read it is still due.
-        unread = self.transport.get_write_buffer_size() > 0
-        is_clean = len(self._answers) == 1 and self._answers[0].is_complete
-        if self._lost or unread or not (is_clean and self.reusable):
+        # The peer may respond early, before all bytes of the request are sent.
+        has_unsent_bytes = self.transport.get_write_buffer_size() > 0
+        is_clean = len(self._responses) == 1 and self._responses[0].is_complete
+        if self._lost or has_unsent_bytes or not (is_clean and self.reusable):
             self.abort()
             return False
         return True
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once, without sending buffered bytes."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def is_usable(self, max_idle_s: float) -> bool:
-        """Tell whether an idle connection may take another request."""
+        """Return whether an idle connection may carry another request."""
         if self._lost or not self.reusable or self.transport.is_closing():
             return False
         idle_s = self._timer.now_s() - self.idle_since_s
-        return idle_s < min(max_idle_s, self.idle_limit_s)
+        return idle_s < min(max_idle_s, self.peer_idle_timeout_s)
 
 
 class ConnectionPool:
-    """Idle connections by address.
+    """Pool of idle connections by address.
 
     Args:
       timer: the timer service.
-      connect_timeout_s: bound of the set-up of a connection.
-      max_idle_s: age from which an idle connection is not used again.
+      connect_timeout_s: time limit for connecting, including the TLS handshake.
+      max_idle_s: idle time from which a connection is not reused.
+
+    Attributes:
+      connect_attempts: number of connection attempts so far.
     """
 
     def __init__(
@@ -331,19 +341,19 @@
     async def acquire(
         self, address: str, max_idle_s: float | None = None
     ) -> UpstreamConnection:
-        """Return a connection to a peer, an idle one or a new one.
+        """Return an idle or a new connection to a peer.
 
         Args:
           address: the peer's HOST:PORT, or `https://HOST:PORT` for TLS.
-          max_idle_s: an idle connection older than this is left alone; 0 for a
-            new one, None for the pool's own limit.
+          max_idle_s: a connection that has been idle for longer is not used, but
+            stays in the pool; 0 for a new connection, None for the pool's limit.
 
         Raises:
-          UpstreamError: no connection could be set up; nothing was sent.
+          UpstreamError: connecting failed or timed out; nothing was sent.
         """
         limit_s = self._max_idle_s if max_idle_s is None else max_idle_s
         idle = self._idle.get(address, [])
-        # The one that was used last is the last one.
+        # The most recently used connection is at the end.
         while idle and not idle[-1].is_usable(self._max_idle_s):
             idle.pop().abort()
         if idle and idle[-1].is_usable(limit_s):
@@ -375,14 +385,14 @@
         return self._tls
 
     async def exchange(self, address: str, data: bytes) -> tuple[ResponseHead, bytes]:
-        """Send one request and return the head and the body of its answer.
+        """Send one request and return the head and the body of the response.
 
         Args:
           address: the peer's HOST:PORT.
-          data: the bytes of the request's head and body.
+          data: the encoded head and body of the request.
 
         Raises:
-          UpstreamError: there is no whole answer.
+          UpstreamError: there is no complete response.
         """
         connection = await self.acquire(address)
         try:
@@ -392,7 +402,7 @@
             self.release(connection)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """End a connection's exchange and keep it if it is clean."""
+        """End the exchange of a connection and keep the connection if reusable."""
         if connection.end_exchange():
             self._idle.setdefault(connection.address, []).append(connection)
 
@@ -402,7 +412,7 @@
             connection.abort()
 
     def prune(self) -> None:
-        """Close idle connections that are too old to be used again."""
+        """Close connections that have been idle for too long."""
         for address in list(self._idle):
             kept = []
             for connection in self._idle[address]:
--- a/endivesill/http1/exchange.py
+++ b/endivesill/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the way to answer it."""
+"""One request received by a server connection, and its response."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @attrs.define
 class ConnectionLimits:
-    """What a caller may send.
+    """Limits on what a caller may send.
 
     Attributes:
-      header_bytes: size of a head.
-      body_bytes: size of a body.
-      header_timeout_s: time from the first byte of a head to its end.
-      idle_timeout_s: time without a request on an open connection.
+      header_bytes: maximum size of a request head.
+      body_bytes: maximum size of a request body.
+      header_timeout_s: maximum time from the first byte of a head to its end.
+      idle_timeout_s: maximum time without a request on an open connection.
     """
 
     header_bytes: int = 16_384
@@ -40,18 +40,19 @@
 
 
 class Exchange:
-    """One request and the way to answer it.
+    """One request and its response.
 
     Attributes:
-      method: the request's method.
-      target: the request target as it was sent.
-      headers: the request's headers as they were sent.
-      body: the whole body.
+      method: the request method.
+      target: the request target as received.
+      headers: the request headers as received, in order.
+      body: the complete request body.
       received_s: when the last byte of the request was read.
-      disconnected: set once the caller has closed the connection or it broke.
-      on_disconnect: called when that happens, if set.
-      head_sent: whether a head was written.
-      closes_connection: whether the connection ends with this answer.
+      disconnected: set when the caller closes the connection or it fails.
+      on_disconnect: called once when that happens, if set.
+      head_sent: whether the response head was written.
+      finished: whether the response is complete or aborted.
+      closes_connection: whether the connection is closed after the response.
     """
 
     def __init__(
@@ -76,38 +77,38 @@
         self.closes_connection = not keep_alive
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a request header, or empty bytes."""
+        """Return the first value of a header (name in lower case), or empty bytes."""
         return header_value(self.headers, name)
 
     def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         length = (b"Content-Length", b"%d" % len(body))
         head = self._head(status, [*headers, length])
         self._write(head if self.method == "HEAD" else head + body)
         self.finished = True
 
     def start(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer of unknown length."""
+        """Write the head of a chunked response; `send` and `finish` follow."""
         chunked = (b"Transfer-Encoding", b"chunked")
         self._write(self._head(status, [*headers, chunked]))
 
     def send(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write one chunk of the body; `data` must not be empty."""
         self._write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def finish(self) -> None:
-        """End the body of an answer of unknown length."""
+        """Write the last chunk of a chunked response."""
         self._write(b"0\r\n\r\n")
         self.finished = True
 
     def abort(self) -> None:
-        """Break the connection, so that no answer looks complete."""
+        """Reset the connection, so that the response cannot look complete."""
         self.finished = True
         self.closes_connection = True
         self.connection.abort()
 
     async def drain(self) -> None:
-        """Wait until the caller has read most of what was written."""
+        """Wait while the transport has paused writing (backpressure)."""
         await self.connection.writable.wait()
 
     def _head(self, status: int, headers: Headers) -> bytes:
@@ -124,7 +125,11 @@
 
 
 def check_framing(headers: Headers) -> str:
-    """Return why a head could be read in two ways, or the empty string."""
+    """Return why the framing of a request is rejected, or the empty string.
+
+    Ambiguous framing is rejected, since two parties could read different requests
+    from the same bytes (request smuggling).
+    """
     lengths = header_values(headers, b"content-length")
     codings = header_values(headers, b"transfer-encoding")
     if len(lengths) > 1 or (lengths and codings):
--- a/endivesill/http1/head.py
+++ b/endivesill/http1/head.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages as lists of byte pairs, in the order of the wire."""
+"""Heads of HTTP messages, with headers as byte pairs in wire order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# RFC 9110, section 7.6.1; `content-length` is written anew for each message.
+# RFC 9110, section 7.6.1, and `content-length`, which is set for each message.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -29,20 +29,20 @@
         b"upgrade",
     }
 )
-REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
 
 def header_values(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> list[bytes]:
-    """Return all values of a header; `name` is in lower case."""
-    return [value for key, value in headers if key.lower() == name]
+    """Return all values of a header; `name` must be in lower case."""
+    return [value for header_name, value in headers if header_name.lower() == name]
 
 
 def header_value(
     headers: Iterable[tuple[bytes, bytes]], name: bytes, default: bytes = b""
 ) -> bytes:
-    """Return the first value of a header; `name` is in lower case."""
-    for key, value in headers:
-        if key.lower() == name:
+    """Return the first value of a header; `name` must be in lower case."""
+    for header_name, value in headers:
+        if header_name.lower() == name:
             return value
     return default
 
@@ -51,9 +51,9 @@
     """Return the end-to-end headers.
 
     Args:
-      headers: a message's headers.
-      kept_prefix: headers of this prefix stay although `Connection` names them,
-        so that a caller cannot remove what the engines rely on.
+      headers: the headers of a message.
+      kept_prefix: headers with this prefix are kept even if `Connection` names
+        them, so that a caller cannot remove headers that engines rely on.
     """
     dropped = set(HOP_BY_HOP)
     for value in header_values(headers, b"connection"):
@@ -64,12 +64,12 @@
 
 
 def encode_head(start_line: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Return the bytes of a head, the empty line included."""
+    """Return the encoded head, including the empty line."""
     lines = [start_line]
     lines += [name + b": " + value for name, value in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def status_line(status: int) -> bytes:
-    """Return the first line of a response."""
-    return b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Status"))
+    """Return the status line of a response, without the line end."""
+    return b"HTTP/1.1 %d %s" % (status, REASON_PHRASES.get(status, b"Status"))
--- a/endivesill/http1/sending.py
+++ b/endivesill/http1/sending.py
@@ -1,7 +1,7 @@
-"""One sending of a request to one peer, up to the head of its own answer.
+"""Sends one request to one peer and reads the head of its response.
 
-What each failure says of the request is the same for all who forward: whether it
-may have run decides whether it may be sent again.
+Each failure says whether the request may have run, which decides whether it may be
+sent again.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SendFailure(enum.Enum):
-    """Why a sending has no answer."""
+    """Why a request has no response."""
 
     NO_CONNECTION = "no-connection"
     NOT_STARTED = "not-started"
@@ -29,15 +29,15 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request has certainly not run."""
+        """Whether the request has certainly not run, so that a retry is safe."""
         return self in (SendFailure.NO_CONNECTION, SendFailure.NOT_STARTED)
 
 
 class SendError(UpstreamError):
-    """A sending without an answer.
+    """A request without a response.
 
     Attributes:
-      failure: why.
+      failure: the kind of failure.
     """
 
     def __init__(self, failure: SendFailure, detail: str) -> None:
@@ -57,26 +57,29 @@
     max_foreign_responses: int = 0,
     no_body: bool = False,
 ) -> tuple[UpstreamConnection, ResponseHead]:
-    """Send a request and wait for the head of its answer.
+    """Send a request and wait for the head of its response.
 
     Args:
       pool: connections to peers.
       address: the peer, as `ConnectionPool.acquire` takes it.
-      encode: returns the request's bytes; called once connected.
-      max_idle_s: an idle connection older than this is not used; 0 for a new
-        one, None for the pool's own limit.
-      may_start: asked once connected, before the first byte goes out.
-      on_started: called when the request may have reached the peer.
-      is_own_response: tells whether an answer is this request's.
-      max_foreign_responses: whole answers to others that are skipped before its own.
-      no_body: whether the answer has no body whatever its head says.
+      encode: returns the encoded request; called after connecting.
+      max_idle_s: a connection that has been idle for longer is not used; 0 for a
+        new one, None for the pool's limit.
+      may_start: checked after connecting, before the first byte is sent; False
+        cancels the request.
+      on_started: called after the request was handed to the connection; from then
+        on it may have reached the peer.
+      is_own_response: returns whether a response belongs to this request.
+      max_foreign_responses: number of complete responses to other requests that
+        are skipped.
+      no_body: whether the response has no body, whatever its head says (HEAD).
 
     Returns:
-      The connection, whose answer has not been read, and the head; the caller
-      releases the connection.
+      The connection, with the body of the response unread, and the head. The
+      caller releases the connection.
 
     Raises:
-      SendError: there is no answer.
+      SendError: there is no response.
     """
     try:
         connection = await pool.acquire(address, max_idle_s)
@@ -104,7 +107,7 @@
     is_own_response: Callable[[ResponseHead], bool],
     max_foreign_responses: int,
 ) -> ResponseHead:
-    """Skip late answers to others that stand before this request's own."""
+    """Read the head of this request's response; skip late ones to other requests."""
     skipped = 0
     while True:
         try:
--- a/endivesill/http1/server.py
+++ b/endivesill/http1/server.py
@@ -1,7 +1,7 @@
-"""The server side of HTTP/1.1: one task for each connection.
+"""HTTP/1.1 server connections, with one task per connection.
 
-The whole request is read before it is handled. Requests that follow on the same
-connection wait for the end of the answer.
+A request is read completely before it is handled. Pipelined requests are queued
+until the response to the current one is complete.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from endivesill import errors, events
 from endivesill.http1.exchange import ConnectionLimits, Exchange, check_framing
 from endivesill.http1.head import Headers, encode_head, header_value, status_line
-from endivesill.http1.sockets import set_options
+from endivesill.http1.sockets import set_socket_options
 from endivesill.timer import TimerHandle, TimerService
 
 __all__ = ["HttpListener", "ServerConnection"]
 
-# Requests that a connection may have sent ahead before reading is paused.
-PIPELINE_LIMIT = 8
-# Period of the search for connections that are idle or slow for too long.
-SWEEP_S = 0.25
-# How long input is discarded after a close, so that a reset does not overtake
-# the last answer.
+# Queued requests of a connection above which reading is paused.
+MAX_PIPELINED_REQUESTS = 8
+# Period of the timeout checks of all connections.
+SWEEP_PERIOD_S = 0.25
+# How long input is discarded after a close. Without it, unread input would cause a
+# TCP reset that may discard the last response before the caller reads it.
 LINGER_S = 1.0
 BACKLOG_CONNECTIONS = 512
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 BAD_REQUEST = events.define(
-    1030, "bad-request", "A connection sent bytes that are no acceptable request."
+    1030, "bad-request", "A request was rejected as malformed, too large or too slow."
 )
 
 
@@ -40,7 +40,14 @@
     """One connection of a caller.
 
     Args:
-      listener: what accepted it.
+      listener: the listener that accepted the connection.
+
+    Attributes:
+      writable: set unless the transport has paused writing.
+      current: the exchange that is being handled; None between requests.
+      idle_since_s: when the last exchange ended, or the connection started.
+      head_started_s: when the first byte of an incomplete head was received; None
+        if no head is being received.
     """
 
     def __init__(self, listener: HttpListener) -> None:
@@ -50,17 +57,17 @@
         self.writable.set()
         self.current: Exchange | None = None
         self.idle_since_s = listener.timer.now_s()
-        self.head_since_s: float | None = None
+        self.head_started_s: float | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._pending: collections.deque[Exchange] = collections.deque()
-        self._arrived = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._discarding = False
         self._lost = False
-        self._error: tuple[int, str] | None = None
-        self._begin()
+        self._rejection: tuple[int, str] | None = None
+        self._reset_request()
 
-    def _begin(self) -> None:
+    def _reset_request(self) -> None:
         self._target = b""
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -72,29 +79,29 @@
     # asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the connection's task."""
+        """Register the connection and start its task."""
         self.transport = transport
         self.listener.connections.add(self)
-        set_options(transport)
+        set_socket_options(transport)
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received bytes and enforce the limit on the head."""
         if self._discarding:
             return
-        if self.head_since_s is None and not self._in_body:
-            self.head_since_s = self.listener.timer.now_s()
+        if self.head_started_s is None and not self._in_body:
+            self.head_started_s = self.listener.timer.now_s()
         if not self._in_body:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail(400, "an upgrade of the protocol")
+            self._reject(400, "an upgrade of the protocol")
         except httptools.HttpParserError as error:
-            self._fail(400, str(error) or type(error).__name__)
-        if self._error is None and self._head_exceeds_limit():
-            self._fail(431, "the head is too large")
-        if len(self._pending) > PIPELINE_LIMIT and not self._lost:
+            self._reject(400, str(error) or type(error).__name__)
+        if self._rejection is None and self._head_exceeds_limit():
+            self._reject(431, "the head is too large")
+        if len(self._pending) > MAX_PIPELINED_REQUESTS and not self._lost:
             self.transport.pause_reading()
 
     def _head_exceeds_limit(self) -> bool:
@@ -103,27 +110,27 @@
         )
 
     def eof_received(self) -> bool:
-        """Take the end of the caller's stream as the end of its interest."""
-        self._note_gone()
+        """Treat the end of the caller's stream as a disconnect."""
+        self._notify_disconnect()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the exchange that its caller is gone."""
+        """Notify the exchanges of the disconnect and end the task."""
         self._lost = True
         self.listener.connections.discard(self)
-        self._note_gone()
+        self._notify_disconnect()
         self.writable.set()
-        self._arrived.set()
+        self._wakeup.set()
 
     def pause_writing(self) -> None:
-        """Hold back writers."""
+        """Block `Exchange.drain`: the write buffer is full."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock `Exchange.drain`."""
         self.writable.set()
 
-    def _note_gone(self) -> None:
+    def _notify_disconnect(self) -> None:
         for exchange in (self.current, *self._pending):
             if exchange is not None and not exchange.disconnected.is_set():
                 exchange.disconnected.set()
@@ -133,41 +140,45 @@
     # httptools callbacks.
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header, or a trailer field after the body."""
+        """Add a header; trailer fields are dropped."""
         if not self._in_body:
             self._headers.append((name, value))
             self._field_bytes += len(name) + len(value)
             if self._field_bytes > self.listener.limits.header_bytes:
-                self._fail(431, "the head is too large")
+                self._reject(431, "the head is too large")
 
     def on_headers_complete(self) -> None:
-        """Check the head before any of the body is taken."""
+        """Check the framing and the announced length before the body is read.
+
+        Raises:
+          RequestError: the framing is rejected.
+        """
         self._in_body = True
-        self.head_since_s = None
+        self.head_started_s = None
         problem = check_framing(self._headers)
         if problem:
             raise errors.RequestError(400, problem)
         length = header_value(self._headers, b"content-length", b"0")
         if int(length) > self.listener.limits.body_bytes:
-            self._fail(413, "the body is too large")
+            self._reject(413, "the body is too large")
         elif header_value(self._headers, b"expect").lower() == b"100-continue":
-            self.transport.write(CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body within the limit."""
         self._body_bytes += len(body)
         if self._body_bytes > self.listener.limits.body_bytes:
-            self._fail(413, "the body is too large")
+            self._reject(413, "the body is too large")
         else:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue the request."""
-        if self._error is not None:
+        """Queue the complete request for the connection's task."""
+        if self._rejection is not None:
             return
         exchange = Exchange(
             self,
@@ -177,16 +188,16 @@
             b"".join(self._body),
             self._parser.should_keep_alive(),
         )
-        self._begin()
+        self._reset_request()
         self._pending.append(exchange)
-        self._arrived.set()
+        self._wakeup.set()
 
-    def _fail(self, status: int, reason: str) -> None:
-        """Refuse what cannot be parsed, after the answers that are due before."""
-        if self._error is None:
-            self._error = (status, reason)
+    def _reject(self, status: int, reason: str) -> None:
+        """Discard further input; the response follows after those already due."""
+        if self._rejection is None:
+            self._rejection = (status, reason)
             self._discarding = True
-            self._arrived.set()
+            self._wakeup.set()
 
     # The connection's task.
 
@@ -194,17 +205,17 @@
         try:
             while not self._lost:
                 if self._pending:
-                    await self._answer(self._pending.popleft())
-                elif self._error is not None:
-                    self._refuse(*self._error)
+                    await self._handle_exchange(self._pending.popleft())
+                elif self._rejection is not None:
+                    self._send_rejection(*self._rejection)
                     return
                 else:
-                    self._arrived.clear()
-                    await self._arrived.wait()
+                    self._wakeup.clear()
+                    await self._wakeup.wait()
         finally:
             self._close()
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle_exchange(self, exchange: Exchange) -> None:
         self.current = exchange
         if not self._lost:
             self.transport.resume_reading()
@@ -222,38 +233,38 @@
         if exchange.closes_connection:
             self._lost = True
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _send_rejection(self, status: int, reason: str) -> None:
         events.emit(BAD_REQUEST, status=status, reason=reason)
         headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
         self.transport.write(encode_head(status_line(status), headers))
 
-    def expire(self, now_s: float) -> None:
-        """Close the connection if it is idle or its head is slow for too long."""
+    def check_timeouts(self, now_s: float) -> None:
+        """Close an idle connection, or reject a slow head, after its timeout."""
         limits = self.listener.limits
         if self.current is not None or self._pending or self._discarding:
             return
-        if self.head_since_s is not None:
-            if now_s - self.head_since_s > limits.header_timeout_s:
-                self._fail(408, "the head did not come in time")
+        if self.head_started_s is not None:
+            if now_s - self.head_started_s > limits.header_timeout_s:
+                self._reject(408, "the head did not come in time")
         elif not self._in_body and now_s - self.idle_since_s > limits.idle_timeout_s:
             self._close()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is being read or answered."""
+        """Close the connection unless a body is being read or a request is queued."""
         if self.current is None and not self._pending and not self._in_body:
             self._close()
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection; buffered bytes are lost."""
         self._lost = True
         if self.transport is not None:
             self.transport.abort()
 
     def _close(self) -> None:
-        """Send what is buffered, discard what still comes, and close."""
+        """Send buffered bytes and the end of the stream; close after `LINGER_S`."""
         self._lost = True
         self._discarding = True
-        self._arrived.set()
+        self._wakeup.set()
         if self.transport is None or self.transport.is_closing():
             return
         if self.transport.can_write_eof():
@@ -268,13 +279,13 @@
     Args:
       timer: the timer service.
       address: HOST:PORT to listen on.
-      handler: answers one exchange.
-      limits: what callers may send; may be replaced at any time.
+      handler: handles one exchange; it must finish or abort the response.
+      limits: limits on requests; may be replaced at any time.
 
     Attributes:
       connections: the open connections.
-      active_exchanges: how many exchanges are being answered.
-      closing: whether each answer ends its connection.
+      active_exchanges: number of exchanges that are being handled.
+      closing: whether connections are closed after their next response.
     """
 
     def __init__(
@@ -292,10 +303,10 @@
         self.closing = False
         self._address = address
         self._server: asyncio.Server | None = None
-        self._sweeper: TimerHandle | None = None
+        self._sweep_timer: TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen and to check timeouts."""
         host, _, port = self._address.rpartition(":")
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self),
@@ -303,11 +314,11 @@
             int(port),
             backlog=BACKLOG_CONNECTIONS,
         )
-        self._sweeper = self.timer.call_every(SWEEP_S, self._sweep)
+        self._sweep_timer = self.timer.call_every(SWEEP_PERIOD_S, self._sweep)
 
     @property
     def address(self) -> str:
-        """The address in use, once started."""
+        """HOST:PORT of the listening socket; available after `start`."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
@@ -315,17 +326,17 @@
     def _sweep(self) -> None:
         now_s = self.timer.now_s()
         for connection in list(self.connections):
-            connection.expire(now_s)
+            connection.check_timeouts(now_s)
 
     def close_idle(self) -> None:
-        """Close the connections that have no request under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     async def stop(self) -> None:
-        """Stop listening and break what is left."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Stop listening and reset the open connections."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
--- a/endivesill/http1/sockets.py
+++ b/endivesill/http1/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options of all HTTP connections."""
+"""TCP options of HTTP client and server connections."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from endivesill import events
 
-__all__ = ["set_options"]
+__all__ = ["set_socket_options"]
 
-# Linux: a peer that acknowledges nothing for this long is gone.
+# TCP_USER_TIMEOUT (Linux): longest time without an acknowledgement of sent data.
 USER_TIMEOUT_MS = 4_000
-# Probes on an idle connection: it is gone after some seconds without an answer.
-KEEP_ALIVE_IDLE_S = 1
-KEEP_ALIVE_PERIOD_S = 1
-KEEP_ALIVE_PROBES = 3
+# TCP keep-alive: an idle connection fails after a few seconds without a reply.
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_PERIOD_S = 1
+KEEPALIVE_PROBES = 3
 
 
-def set_options(transport: asyncio.BaseTransport) -> None:
-    """Set the socket options that show a silent peer."""
+def set_socket_options(transport: asyncio.BaseTransport) -> None:
+    """Disable Nagle's algorithm and detect unresponsive peers; log a failure."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -26,8 +26,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_PERIOD_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PERIOD_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     except OSError as error:
         events.emit(events.TASK_FAILED, task="socket-options", error=repr(error))
--- a/tests/http1_fakes.py
+++ b/tests/http1_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes around HTTP connections, for tests without sockets."""
+"""Fakes for tests of HTTP connections without sockets."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class FakeTransport:
-    """Keeps what a protocol writes."""
+    """Records what a protocol writes and how it closes the connection."""
 
     def __init__(self) -> None:
         self.written = b""
-        self.eof = False
+        self.eof_written = False
         self.aborted = False
         self.closed = False
         self.paused = False
@@ -26,7 +26,7 @@
         return True
 
     def write_eof(self) -> None:
-        self.eof = True
+        self.eof_written = True
 
     def is_closing(self) -> bool:
         return self.aborted or self.closed
@@ -48,6 +48,6 @@
 
 
 async def settle() -> None:
-    """Let all tasks run until they wait."""
+    """Run the event loop until no task can proceed."""
     for _ in range(20):
         await asyncio.sleep(0)
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's engines, on loopback."""
+"""Stand-in for engines of the platform, on the loopback interface."""
 
 from __future__ import annotations
 
@@ -12,14 +12,24 @@
 
 
 class StandinEngine:
-    """One engine; its behaviour is set by attributes.
+    """One engine; tests set its behaviour through attributes.
 
     Attributes:
-      answers: statuses of the next plain answers; 200 after them.
-      streams: numbers of events of the next streams; None breaks off after
-        `break_after` events.
-      requests: what has come, as (method, target, headers by lower name, body).
-      copies: names of the copies that can be gone on from.
+      answers: statuses of the next plain responses; 200 once they are used up.
+      events: number of events of a stream.
+      break_after: number of events after which a stream breaks off within an
+        event; None for complete streams.
+      event_pause_s: pause after each event.
+      not_run: whether requests are rejected as not executed.
+      foreign_first: whether a response to another request is sent first.
+      unframed: whether plain responses end with the connection.
+      hangs: whether requests wait for the caller's disconnect.
+      requests: received requests as (method, target, headers by lower-case name,
+        body).
+      copies: handles of the copies from which a run can be resumed.
+      copy_orders: bodies of the received copy orders.
+      copy_releases: targets of the received copy releases.
+      left_early: number of requests whose caller disconnected first.
     """
 
     def __init__(self, identity: str) -> None:
@@ -37,7 +47,7 @@
         self.copy_orders: list[dict] = []
         self.copy_releases: list[bytes] = []
         self.left_early = 0
-        self._listener = HttpListener(SystemTimer(), "127.0.0.1:0", self._answer)
+        self._listener = HttpListener(SystemTimer(), "127.0.0.1:0", self._handle)
 
     async def start(self) -> None:
         await self._listener.start()
@@ -49,7 +59,7 @@
     def address(self) -> str:
         return self._listener.address
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         headers = {name.lower(): value for name, value in exchange.headers}
         if exchange.target == b"/kv-move":
             self.copy_orders.append(json.loads(exchange.body))
@@ -73,11 +83,11 @@
             await exchange.disconnected.wait()
             self.left_early += 1
         elif b"x-endivesill-token-counts" in headers:
-            await self._stream(exchange, headers, attempt)
+            await self._send_stream(exchange, headers, attempt)
         else:
-            self._plain(exchange, attempt)
+            self._send_plain(exchange, attempt)
 
-    def _plain(self, exchange: Exchange, attempt) -> None:
+    def _send_plain(self, exchange: Exchange, attempt) -> None:
         if self.foreign_first:
             other = (b"X-Endivesill-Request-Attempt-Id", b"someone-else")
             exchange.respond(200, [other, SEAL], b"not yours")
@@ -94,7 +104,7 @@
             return
         exchange.respond(status, [attempt, SEAL], body)
 
-    async def _stream(self, exchange: Exchange, headers, attempt) -> None:
+    async def _send_stream(self, exchange: Exchange, headers, attempt) -> None:
         first = 1
         source = headers.get(b"kv-from", b"").decode()
         if source:
