--- a/endivesill/http1/server.py
+++ b/endivesill/http1/server.py
@@ -64,7 +64,7 @@
         self._task: asyncio.Task[None] | None = None
         self._discarding = False
         self._lost = False
-        self._rejection: tuple[int, str] | None = None
+        self._error: tuple[int, str] | None = None
         self._reset_request()
 
     def _reset_request(self) -> None:
@@ -96,11 +96,11 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject(400, "an upgrade of the protocol")
+            self._fail(400, "an upgrade of the protocol")
         except httptools.HttpParserError as error:
-            self._reject(400, str(error) or type(error).__name__)
-        if self._rejection is None and self._head_exceeds_limit():
-            self._reject(431, "the head is too large")
+            self._fail(400, str(error) or type(error).__name__)
+        if self._error is None and self._head_exceeds_limit():
+            self._fail(431, "the head is too large")
         if len(self._pending) > MAX_PIPELINED_REQUESTS and not self._lost:
             self.transport.pause_reading()
 
@@ -149,7 +149,7 @@
             self._headers.append((name, value))
             self._field_bytes += len(name) + len(value)
             if self._field_bytes > self.listener.limits.header_bytes:
-                self._reject(431, "the head is too large")
+                self._fail(431, "the head is too large")
 
     def on_headers_complete(self) -> None:
         """Check the framing and the announced length before the body is read.
@@ -164,7 +164,7 @@
             raise errors.RequestError(400, problem)
         length = header_value(self._headers, b"content-length", b"0")
         if int(length) > self.listener.limits.body_bytes:
-            self._reject(413, "the body is too large")
+            self._fail(413, "the body is too large")
         elif header_value(self._headers, b"expect").lower() == b"100-continue":
             self.transport.write(CONTINUE_RESPONSE)
 
@@ -172,13 +172,13 @@
         """Buffer a part of the body within the limit."""
         self._body_bytes += len(body)
         if self._body_bytes > self.listener.limits.body_bytes:
-            self._reject(413, "the body is too large")
+            self._fail(413, "the body is too large")
         else:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
         """Queue the complete request for the connection's task."""
-        if self._rejection is not None:
+        if self._error is not None:
             return
         exchange = Exchange(
             self,
@@ -192,10 +192,10 @@
         self._pending.append(exchange)
         self._wakeup.set()
 
-    def _reject(self, status: int, reason: str) -> None:
-        """Discard further input; the response follows after those already due."""
-        if self._rejection is None:
-            self._rejection = (status, reason)
+    def _fail(self, status: int, reason: str) -> None:
+        """Discard further input; the error follows after the responses already due."""
+        if self._error is None:
+            self._error = (status, reason)
             self._discarding = True
             self._wakeup.set()
 
@@ -206,8 +206,8 @@
             while not self._lost:
                 if self._pending:
                     await self._handle_exchange(self._pending.popleft())
-                elif self._rejection is not None:
-                    self._send_rejection(*self._rejection)
+                elif self._error is not None:
+                    self._send_error(*self._error)
                     return
                 else:
                     self._wakeup.clear()
@@ -233,7 +233,7 @@
         if exchange.closes_connection:
             self._lost = True
 
-    def _send_rejection(self, status: int, reason: str) -> None:
+    def _send_error(self, status: int, reason: str) -> None:
         events.emit(BAD_REQUEST, status=status, reason=reason)
         headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
         self.transport.write(encode_head(status_line(status), headers))
@@ -245,7 +245,7 @@
             return
         if self.head_started_s is not None:
             if now_s - self.head_started_s > limits.header_timeout_s:
-                self._reject(408, "the head did not come in time")
+                self._fail(408, "the head did not come in time")
         elif not self._in_body and now_s - self.idle_since_s > limits.idle_timeout_s:
             self._close()
 
--- a/endivesill/platform/health.py
+++ b/endivesill/platform/health.py
@@ -13,7 +13,7 @@
 
 __all__ = ["PlatformHealth", "decode_health"]
 
-# A check takes a few milliseconds, and a failed one is soon repeated.
+# A check takes a few milliseconds, and the next one follows soon.
 HEALTH_CHECK_TIMEOUT_S = 0.5
 
 
