--- a/endivesill/platform/operators.py
+++ b/endivesill/platform/operators.py
@@ -40,7 +40,7 @@
         self._replica = replica
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call; the status is 503 if it failed or its outcome is unknown."""
+        """Answer one call: 400 invalid, 409 conflict, 503 failed or outcome unknown."""
         path = exchange.target.partition(b"?")[0]
         try:
             status, document = await self._dispatch(exchange, path)
--- a/tests/http1_fakes.py
+++ b/tests/http1_fakes.py
@@ -48,6 +48,6 @@
 
 
 async def settle() -> None:
-    """Run the event loop until no task can proceed."""
+    """Let the tasks that are ready run for 20 iterations of the event loop."""
     for _ in range(20):
         await asyncio.sleep(0)
