--- a/endivesill/fleet/departures.py
+++ b/endivesill/fleet/departures.py
@@ -1,8 +1,7 @@
-"""Notices engines that are about to leave from their health checks.
+"""Detects engines that are about to leave from their health checks.
 
-The platform's list and the engines' reports are up to a second old, which is half
-of the notice that an engine has when it is taken away. A health check tells it at
-once.
+An engine that is taken away gets a notice of 1.5 s or more. The platform's list and the
+engines' load reports lag by up to a second of it, while a health check fails at once.
 """
 
 from __future__ import annotations
@@ -19,41 +18,41 @@
 from endivesill.fleet.model import EngineInfo
 from endivesill.timer import TimerService
 
-__all__ = ["DepartureWatch", "HealthSource"]
+__all__ = ["DepartureDetector", "HealthSource"]
 
-# Period of the checks of one engine. Notices last 1.5 s and more, and each check
-# takes a slot of the engine for a moment.
+# Interval between the checks of one engine: notices last 1.5 s or more, and each check
+# takes a slot of the engine briefly.
 CHECK_PERIOD_S = 0.2
-# How long a failed check counts by itself. By then the list and the report of an
-# engine that leaves show it: they are 1.0 s and 0.7 s old, and read every 0.35 s.
+# How long a failing check counts on its own. By then the list and the report show the
+# departure: they lag by 1.0 s and 0.7 s and are read every 0.35 s or less.
 CONFIRMED_AFTER_S = 1.5
 
 
 class HealthSource:
-    """Base of what checks the health of one engine."""
+    """Base of health checks of one engine."""
 
     async def is_healthy(self, engine: EngineInfo) -> bool:
-        """Tell whether an engine takes work, by its own word.
+        """Return whether an engine accepts work.
 
         Raises:
-          UnavailableError: it does not say.
+          UnavailableError: there is no valid response.
         """
         raise NotImplementedError
 
 
-class DepartureWatch:
-    """The engines that say that they take no work.
+class DepartureDetector:
+    """Tracks engines whose health check shows that they are about to leave.
 
-    A new engine may be taken away before its first check, so that a failed check
-    counts at once. It tells nothing in a service in which no engine has ever passed
-    one: there it may mean something else. Nor does it for long if neither the list
-    nor the engine's report confirms it: a check may fail at an engine that serves.
+    A single failed check counts, since a new engine may be taken away before its first
+    check. Failures are ignored in services in which no engine has passed a check so
+    far, as their check may mean something else. A failure expires if neither the list
+    nor the engine's report confirms it, since a check may fail at an engine that works.
 
     Args:
       timer: the timer service.
       source: checks one engine.
       engines: returns the engines to check; none while this VM does not lead.
-      changed: called when the engines that leave have changed.
+      on_change: called when the set of leaving engines has changed.
     """
 
     def __init__(
@@ -61,67 +60,69 @@
         timer: TimerService,
         source: HealthSource,
         engines: Callable[[], Iterable[EngineInfo]],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._timer = timer
         self._source = source
         self._engines = engines
-        self._changed = changed
-        self._proven: set[str] = set()
-        self._told: frozenset[str] = frozenset()
-        # When the check of an engine began to fail.
-        self._failed_s: dict[str, float] = {}
-        self._doubted: set[str] = set()
-        self._silent: set[str] = set()
+        self._on_change = on_change
+        self._services_passed: set[str] = set()
+        self._reported: frozenset[str] = frozenset()
+        # Start of the current series of failures, by incarnation.
+        self._failing_since_s: dict[str, float] = {}
+        self._unconfirmed: set[str] = set()
+        self._unresponsive: set[str] = set()
 
     def leaving(self) -> frozenset[str]:
-        """Return the incarnations that no longer take work."""
+        """Return the incarnations that count as leaving."""
         since_s = self._timer.now_s() - CONFIRMED_AFTER_S
-        return frozenset(b for b, at_s in self._failed_s.items() if at_s > since_s)
+        return frozenset(
+            key for key, at_s in self._failing_since_s.items() if at_s > since_s
+        )
 
     async def run(self) -> None:
         """Check the engines until cancelled."""
         while True:
-            checks = map(self._check, filter(self._is_in_doubt, self._engines()))
+            checks = map(self._check, filter(self._needs_check, self._engines()))
             await asyncio.gather(*checks)
-            self._forget_all_but({engine.incarnation for engine in self._engines()})
+            self._keep_only({engine.incarnation for engine in self._engines()})
             leaving = self.leaving()
-            if leaving != self._told:
-                self._told = leaving
-                self._changed()
+            if leaving != self._reported:
+                self._reported = leaving
+                self._on_change()
             await self._timer.sleep(CHECK_PERIOD_S)
 
-    def _forget_all_but(self, incarnations: set[str]) -> None:
-        for gone in self._failed_s.keys() - incarnations:
-            del self._failed_s[gone]
-        self._silent &= incarnations
-        self._doubted &= incarnations
+    def _keep_only(self, incarnations: set[str]) -> None:
+        for unlisted in self._failing_since_s.keys() - incarnations:
+            del self._failing_since_s[unlisted]
+        self._unresponsive &= incarnations
+        self._unconfirmed &= incarnations
 
-    def _is_in_doubt(self, engine: EngineInfo) -> bool:
-        """Tell whether a check can tell more than the list does."""
+    def _needs_check(self, engine: EngineInfo) -> bool:
+        """Tell whether a check can add to what the list shows."""
         return not engine.is_draining or engine.incarnation in self.leaving()
 
     async def _check(self, engine: EngineInfo) -> None:
         try:
             is_healthy = await self._source.is_healthy(engine)
         except errors.UnavailableError as error:
-            if engine.incarnation not in self._silent:
-                self._silent.add(engine.incarnation)
+            if engine.incarnation not in self._unresponsive:
+                self._unresponsive.add(engine.incarnation)
                 events.emit(HEALTH_UNKNOWN, target=engine.identity, reason=str(error))
             return
-        self._silent.discard(engine.incarnation)
+        self._unresponsive.discard(engine.incarnation)
         if is_healthy:
-            self._proven.add(engine.service)
-            self._failed_s.pop(engine.incarnation, None)
-            self._doubted.discard(engine.incarnation)
-        elif engine.service in self._proven:
-            self._note_failure(engine)
+            self._services_passed.add(engine.service)
+            self._failing_since_s.pop(engine.incarnation, None)
+            self._unconfirmed.discard(engine.incarnation)
+        elif engine.service in self._services_passed:
+            self._record_failure(engine)
 
-    def _note_failure(self, engine: EngineInfo) -> None:
+    def _record_failure(self, engine: EngineInfo) -> None:
         incarnation = engine.incarnation
-        if incarnation not in self._failed_s:
-            self._failed_s[incarnation] = self._timer.now_s()
+        if incarnation not in self._failing_since_s:
+            self._failing_since_s[incarnation] = self._timer.now_s()
             events.emit(ENGINE_UNHEALTHY, target=engine.identity)
-        elif incarnation not in self.leaving() | self._doubted:
-            self._doubted.add(incarnation)
+        elif incarnation not in self.leaving() | self._unconfirmed:
+            self._unconfirmed.add(incarnation)
             events.emit(HEALTH_DOUBTED, target=engine.identity)
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one target, up to the head of the answer."""
+"""One attempt to send a request to a target, up to the head of its response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from endivesill import errors, events
 from endivesill.forwarding.call import Call
 from endivesill.forwarding.events import ANSWER_SKIPPED
-from endivesill.forwarding.protocol import AnswerInfo, Dispatch, EngineProtocol
+from endivesill.forwarding.protocol import Dispatch, EngineProtocol, ResponseInfo
 from endivesill.forwarding.targets import Target, TargetTable
 from endivesill.http1 import (
     ConnectionPool,
@@ -23,15 +23,15 @@
 
 __all__ = ["Attempt", "AttemptError", "Failure", "Sender"]
 
-# Answers to other requests that are skipped on one connection.
-SKIPPED_ANSWERS_LIMIT = 2
-# An idle connection older than this may be half dead; a request that may not be
-# repeated would be lost with it.
-UNREPEATABLE_IDLE_S = 1.0
+# Responses to other requests skipped on one connection.
+MAX_SKIPPED_RESPONSES = 2
+# A connection idle for longer may be half-open, and a request that cannot be retried
+# would be lost on it.
+NON_IDEMPOTENT_MAX_IDLE_S = 1.0
 
 
 class Failure(enum.Enum):
-    """Why an attempt has no answer to pass on."""
+    """Why an attempt has no usable response."""
 
     NO_CONNECTION = "no-connection"
     TARGET_LEFT = "target-left"
@@ -42,11 +42,11 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request has certainly not run and will not."""
+        """Whether the target certainly has not run the request and will not."""
         return self not in (Failure.BROKEN, Failure.FOREIGN_ANSWER)
 
     @property
-    def arrived(self) -> bool:
+    def reached_target(self) -> bool:
         """Whether the target has seen the request."""
         return self not in (Failure.NO_CONNECTION, Failure.TARGET_LEFT)
 
@@ -60,7 +60,12 @@
 
 
 class AttemptError(errors.EndivesillError):
-    """An attempt without an answer to pass on."""
+    """An attempt without a usable response.
+
+    Attributes:
+      failure: the kind of failure.
+      detail: text for logs.
+    """
 
     def __init__(self, failure: Failure, detail: str) -> None:
         super().__init__(f"{failure.value}: {detail}")
@@ -70,12 +75,19 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """A request at a target whose answer has begun."""
+    """A request whose response has begun.
+
+    Attributes:
+      target: the target that runs it.
+      connection: the connection to read the body from; to be released.
+      head: the head of the response.
+      response: what routing needs of the head.
+    """
 
     target: Target
     connection: UpstreamConnection
     head: ResponseHead
-    answer: AnswerInfo
+    response: ResponseInfo
 
 
 class Sender:
@@ -85,7 +97,7 @@
       timer: the timer service.
       pool: connections to targets.
       table: the targets.
-      protocol: writes and reads the heads.
+      protocol: encodes and decodes heads.
     """
 
     def __init__(
@@ -109,40 +121,40 @@
         resume_from: str = "",
         last_event_id: str = "",
     ) -> Attempt:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
         Args:
           call: the request.
-          target: who shall run it; the place is reserved.
-          backup: who gets a copy of the run's memory.
-          resume_from: a copy that the run goes on from.
-          last_event_id: the last event that the caller has.
+          target: where to send it; its demand is already reserved there.
+          backup: receives a live copy of the run's KV cache.
+          resume_from: name of the copy to resume from; empty for a new run.
+          last_event_id: the last event that the caller has received.
 
         Raises:
-          AttemptError: there is no answer to pass on.
+          AttemptError: there is no usable response.
         """
         try:
             connection, head = await send_request(
                 self._pool,
                 target.info.address,
                 lambda: self._encode(call, target, backup, resume_from, last_event_id),
-                max_idle_s=None if call.is_idempotent else UNREPEATABLE_IDLE_S,
-                # The list may have changed while the connection was set up.
-                may_start=lambda: self._table.may_have_work(target),
+                max_idle_s=None if call.is_idempotent else NON_IDEMPOTENT_MAX_IDLE_S,
+                # The target may have left the list during connection set-up.
+                may_start=lambda: self._table.accepts_requests(target),
                 on_started=call.note_sent,
-                is_own_response=lambda head: self._belongs(call, target, head),
-                max_foreign_responses=SKIPPED_ANSWERS_LIMIT,
+                is_own_response=lambda head: self._is_response_to(call, target, head),
+                max_foreign_responses=MAX_SKIPPED_RESPONSES,
                 no_body=call.exchange.method == "HEAD",
             )
         except SendError as error:
             raise AttemptError(FAILURES[error.failure], str(error)) from None
-        answer = self._protocol.decode_answer(head)
-        if answer.wrong_target or answer.not_run:
+        response = self._protocol.decode_response(head)
+        if response.wrong_target or response.not_run:
             self._pool.release(connection)
-            wrong = answer.wrong_target
-            failure = Failure.WRONG_TARGET if wrong else Failure.REJECTED
-            raise AttemptError(failure, str(answer.status))
-        return Attempt(target, connection, head, answer)
+            is_wrong_target = response.wrong_target
+            failure = Failure.WRONG_TARGET if is_wrong_target else Failure.REJECTED
+            raise AttemptError(failure, str(response.status))
+        return Attempt(target, connection, head, response)
 
     def _encode(
         self,
@@ -152,10 +164,10 @@
         resume_from: str,
         last_event_id: str,
     ) -> bytes:
-        """Return the request's bytes for a target."""
+        """Return the head and body of the request for a target."""
         dispatch = Dispatch(
             identity=target.info.identity,
-            left_s=max(0.0, call.caller_end_s - self._timer.now_s()),
+            remaining_s=max(0.0, call.caller_deadline_s - self._timer.now_s()),
             organisation=call.organisation,
             urgency=urgency(call),
             backup_address=backup.info.address if backup else "",
@@ -169,22 +181,25 @@
         )
         return head + exchange.body
 
-    def _belongs(self, call: Call, target: Target, head: ResponseHead) -> bool:
-        """Tell whether an answer is the call's; late ones to others may come first."""
-        answers = self._protocol.answered_attempt(head)
-        if answers in ("", call.info.attempt_id):
+    def _is_response_to(self, call: Call, target: Target, head: ResponseHead) -> bool:
+        """Tell whether a response belongs to the call.
+
+        A late response to an earlier request may arrive first on a connection.
+        """
+        answered_id = self._protocol.response_attempt_id(head)
+        if answered_id in ("", call.info.attempt_id):
             return True
         events.emit(
             ANSWER_SKIPPED,
             request_id=call.info.attempt_id,
             target=target.info.identity,
-            answers=answers,
+            answers=answered_id,
         )
         return False
 
 
 def urgency(call: Call) -> int | None:
-    """Return the urgency of a generation at its engine, 0 first and 9 last."""
-    if call.service.memory is None:
+    """Return the engine's urgency of a generation, 0 highest; None for the default."""
+    if call.service.model_engine is None:
         return None
     return min(9, 3 + 2 * call.priority)
--- a/endivesill/forwarding/event_stream.py
+++ b/endivesill/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a byte stream of server-sent events into events."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event.
+    """One server-sent event.
 
     Attributes:
-      number: its id; None if it has none.
-      data: all its bytes, with the empty line.
+      event_id: its numeric id; None without one.
+      data: its bytes, including the empty line at its end.
     """
 
-    number: int | None
+    event_id: int | None
     data: bytes
 
 
 class EventSplitter:
-    """Takes bytes and gives whole events.
+    """Incremental splitter of a byte stream.
 
     Attributes:
-      rest: the bytes of an event that is not complete.
+      remainder: bytes of the last, incomplete event.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete with these bytes."""
-        *whole, self.rest = (self.rest + data).split(END)
-        return [StreamEvent(_number(block), block + END) for block in whole]
+        """Add bytes and return the events that they complete."""
+        *complete, self.remainder = (self.remainder + data).split(END)
+        return [StreamEvent(_event_id(block), block + END) for block in complete]
 
 
-def _number(block: bytes) -> int | None:
+def _event_id(block: bytes) -> int | None:
     for line in block.split(b"\n"):
         name, colon, value = line.partition(b":")
         if colon and name == b"id" and value.strip().isdigit():
--- a/endivesill/forwarding/run_copy.py
+++ b/endivesill/forwarding/run_copy.py
@@ -1,7 +1,7 @@
-"""Copies the memory of a run to another engine, so that it can go on there.
+"""Copies the KV cache of a run to another engine, where the run can be resumed.
 
-The run is not stopped while it is copied: an engine that goes on from a copy reads
-the few tokens that the copy lacks faster than they could be copied.
+The run goes on while it is copied: prefilling the few tokens that the copy lacks is
+faster than copying them.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 __all__ = ["CopyRefusedError", "RunCopy", "RunCopier"]
 
-# A run of some thousand tokens takes a fifth of a second on a free link; runs
-# of one engine are copied one after the other.
+# Some thousand tokens take 0.2 s on an idle link; an engine copies its runs one after
+# another.
 COPY_TIMEOUT_S = 4.0
-# Period in which a copy takes up what the run has made since; well within the
-# time for which an engine keeps a copy that nobody asks for.
+# Interval at which a copy is brought up to date; well below the time after which
+# engines discard an unused copy.
 REFRESH_S = 1.5
-FREE_TIMEOUT_S = 1.0
+RELEASE_TIMEOUT_S = 1.0
 
 
 class CopyRefusedError(errors.EndivesillError):
-    """An engine that did not copy a run."""
+    """An engine did not make or release a copy."""
 
 
 class RunCopier:
@@ -38,7 +38,7 @@
     Args:
       timer: the timer service.
       pool: connections to targets.
-      protocol: writes and reads the orders.
+      protocol: encodes and decodes the orders.
     """
 
     def __init__(
@@ -49,15 +49,15 @@
         self._protocol = protocol
 
     async def copy(self, call: Call, source: Target, destination: Target) -> str:
-        """Copy a run and return the name of the copy, as the source has it.
+        """Copy a run and return the copy's handle at the source.
 
         Args:
           call: the request that runs.
-          source: where it runs.
-          destination: who gets the copy.
+          source: the engine that runs it.
+          destination: the engine that receives the copy.
 
         Raises:
-          CopyRefusedError: there is no copy.
+          CopyRefusedError: no copy was made.
         """
         order = self._protocol.encode_copy_order(
             source.info.address, call.info.attempt_id, destination.info.address
@@ -67,10 +67,14 @@
             raise CopyRefusedError(f"status {status}")
         return self._protocol.decode_copy_name(body)
 
-    async def free(self, source: Target, name: str) -> None:
-        """Free a copy that is not needed any more."""
+    async def release(self, source: Target, name: str) -> None:
+        """Release a copy that is not needed any more.
+
+        Raises:
+          CopyRefusedError: the engine did not answer.
+        """
         order = self._protocol.encode_copy_release(source.info.address, name)
-        await self._exchange(source, order, FREE_TIMEOUT_S)
+        await self._exchange(source, order, RELEASE_TIMEOUT_S)
 
     async def _exchange(
         self, source: Target, order: bytes, timeout_s: float
@@ -85,19 +89,19 @@
 
 
 class RunCopy:
-    """A copy of one run at another engine, kept up to date.
+    """A copy of one run at another engine, refreshed every `REFRESH_S`.
 
     Args:
       copier: orders the copies.
       call: the request that runs.
-      source: where it runs.
-      destination: who gets the copy; a place is taken there.
-      copied: called after each copy.
+      source: the engine that runs it.
+      destination: receives the copy; its demand is already reserved there.
+      on_copied: called after each copy, made or failed.
 
     Attributes:
-      destination: who has the copy.
-      name: names the copy; empty before there is one.
-      has_failed: whether there will be none.
+      destination: the engine that has the copy.
+      name: HOST:PORT/HANDLE of the copy; empty before it is complete.
+      has_failed: whether copying has failed; it is not tried again.
     """
 
     def __init__(
@@ -106,42 +110,42 @@
         call: Call,
         source: Target,
         destination: Target,
-        copied: Callable[[], None],
+        on_copied: Callable[[], None],
     ) -> None:
-        self._copied = copied
+        self._on_copied = on_copied
         self._copier = copier
         self._call = call
         self._source = source
         self._task: asyncio.Task[None] | None = None
         self._handle = ""
-        self._used = False
+        self._claimed = False
         self.destination = destination
         self.has_failed = False
 
     @property
     def name(self) -> str:
-        """Names the copy for the engine that goes on from it."""
+        """Name of the copy for the engine that resumes from it."""
         if not self._handle:
             return ""
         return f"{self._source.info.address}/{self._handle}"
 
     def start(self) -> None:
-        """Make the copy in the background."""
+        """Start copying in the background."""
         self._task = asyncio.ensure_future(self._run())
 
-    def use(self) -> str:
-        """Return the copy's name for the engine that goes on from it."""
-        self._used = True
+    def claim(self) -> str:
+        """Return the copy's name for a resume, so that `close` does not release it."""
+        self._claimed = True
         return self.name
 
     def close(self) -> None:
-        """End the copy; one that is not used is freed."""
+        """Stop copying and release the copy unless it was claimed."""
         if self._task is not None:
             self._task.cancel()
-            self.destination.give_back_copy(self._call.need)
+            self.destination.release_copy(self._call.demand)
             self._task = None
-        if self._handle and not self._used:
-            asyncio.ensure_future(self._free())
+        if self._handle and not self._claimed:
+            asyncio.ensure_future(self._release())
 
     async def _run(self) -> None:
         await self._copy()
@@ -165,13 +169,13 @@
             destination=self.destination.info.identity,
             outcome=outcome,
         )
-        self._copied()
+        self._on_copied()
 
-    async def _free(self) -> None:
+    async def _release(self) -> None:
         try:
-            await self._copier.free(self._source, self._handle)
+            await self._copier.release(self._source, self._handle)
         except CopyRefusedError as error:
-            # The engines free it themselves some seconds later.
+            # Engines discard unused copies after some seconds.
             events.emit(
                 RUN_COPIED,
                 request_id=self._call.info.attempt_id,
--- a/endivesill/platform/provider.py
+++ b/endivesill/platform/provider.py
@@ -5,7 +5,7 @@
 import urllib.parse
 
 from endivesill import errors, events
-from endivesill.fleet.engine_list import ListSource
+from endivesill.fleet.engine_list import EngineListSource
 from endivesill.fleet.events import LIST_ENTRY_SKIPPED
 from endivesill.fleet.model import EngineInfo
 from endivesill.platform import wire
@@ -20,7 +20,7 @@
 CALL_RATE_FRACTION = 0.4
 
 
-class PlatformEngineList(ListSource):
+class PlatformEngineList(EngineListSource):
     """The engine list at the platform's address.
 
     Args:
@@ -57,7 +57,7 @@
             token = page.next_token
             if not token:
                 self._log_skipped(skipped)
-                self.shortest_period_s = page_count / (
+                self.min_period_s = page_count / (
                     CALL_RATE_FRACTION * self._calls_per_s
                 )
                 return engines
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -58,9 +58,11 @@
             (6.0, 1.5, 0.18),
             (streaming.timeout_s, streaming.target_latency_s, streaming.gap_target_s),
         )
-        self.assertEqual([90, 10], [share.weight for share in weighted.shares])
-        self.assertEqual(24, configuration.services["llm"].memory.slots)
-        self.assertIsNone(configuration.services["app"].memory)
+        self.assertEqual(
+            [90, 10], [share.weight for share in weighted.weighted_services]
+        )
+        self.assertEqual(24, configuration.services["llm"].model_engine.slots)
+        self.assertIsNone(configuration.services["app"].model_engine)
         self.assertEqual(("k1", "k2"), configuration.organisations[0].keys)
         self.assertEqual(100, configuration.header_bytes)
 
