--- a/endivesill/platform/__main__.py
+++ b/endivesill/platform/__main__.py
@@ -19,7 +19,7 @@
 async def run(role: str, settings: NodeSettings) -> None:
     """Run the process of the given role until it is stopped by a signal."""
     timer = SystemTimer()
-    log = JsonLog(timer, settings.vm, failed=request_failed)
+    log = JsonLog(timer, settings.vm, classify=request_failed)
     log.start()
     try:
         # Each role imports only its own modules, which shortens the start and
--- a/endivesill/platform/configuration.py
+++ b/endivesill/platform/configuration.py
@@ -111,18 +111,22 @@
 ) -> tuple[WeightedService, ...]:
     if reader.has("traffic_split"):
         items = reader.objects("traffic_split")
-        shares = tuple(
+        weighted_services = tuple(
             WeightedService(item.text("service"), item.number("weight"))
             for item in items
         )
     else:
-        shares = (WeightedService(reader.text("service"), 1.0),)
-    for share in shares:
-        if share.service not in services:
-            raise errors.DocumentError(f"route {route}: no service {share.service!r}")
-    if any(share.weight < 0 for share in shares) or not any(s.weight for s in shares):
+        weighted_services = (WeightedService(reader.text("service"), 1.0),)
+    for weighted in weighted_services:
+        if weighted.service not in services:
+            raise errors.DocumentError(
+                f"route {route}: no service {weighted.service!r}"
+            )
+    if any(weighted.weight < 0 for weighted in weighted_services) or not any(
+        s.weight for s in weighted_services
+    ):
         raise errors.DocumentError(f"route {route}: the weights add up to 0")
-    return shares
+    return weighted_services
 
 
 def _decode_organisation(reader: Reader) -> Organisation:
--- a/endivesill/platform/control_process.py
+++ b/endivesill/platform/control_process.py
@@ -67,7 +67,7 @@
         desired_voters=2 * settings.tolerated_losses + 1,
     )
     client = PlatformClient(timer)
-    hub = FleetSyncService(
+    sync_service = FleetSyncService(
         timer,
         replica,
         transport,
@@ -75,20 +75,22 @@
             client, settings.engine_list_address, settings.engine_list_calls_per_s
         ),
     )
-    placement = LeaderPlacement(settings, timer, replica, hub, transport, client)
+    placement = LeaderPlacement(
+        settings, timer, replica, sync_service, transport, client
+    )
     operators = OperatorHandler(timer, replica)
     listener = HttpListener(
         timer, settings.control_address, operators.handle, OPERATOR_LIMITS
     )
     metrics = MetricsListener(
-        timer, settings, lambda: _metric_lines(replica, hub, placement, disk)
+        timer, settings, lambda: _metric_lines(replica, sync_service, placement, disk)
     )
     await replica.start()
     await transport.start()
     await listener.start()
     await metrics.start()
     tasks = [
-        supervise(timer, "fleet-hub", hub.run),
+        supervise(timer, "fleet-hub", sync_service.run),
         supervise(timer, "engine-reports", placement.run_reports),
         supervise(timer, "engine-checks", placement.run_checks),
     ]
@@ -113,13 +115,13 @@
 
 def _metric_lines(
     replica: ControlReplica,
-    hub: FleetSyncService,
+    sync_service: FleetSyncService,
     placement: LeaderPlacement,
     disk: TimedDisk,
 ) -> list[str]:
     core = replica.core
     lag = core.commit_index - replica.applied_index
-    engine_list = hub.reader.current
+    engine_list = sync_service.reader.current
     return [
         f"endivesill_control_term {core.term}",
         f"endivesill_control_leads {int(replica.is_leader)}",
--- a/endivesill/platform/entry_process.py
+++ b/endivesill/platform/entry_process.py
@@ -45,9 +45,9 @@
 ENTRY_COLD_FRACTION = 1 - LEADER_COLD_FRACTION
 # Longest time between two checks whether a stream needs a new backup copy.
 REVIEW_PERIOD_S = 0.5
-# With older knowledge of the fleet the entry reports that it is not ready, so
+# With an older view of the fleet the entry reports that it is not ready, so
 # that callers are sent to other entries.
-MAX_READY_KNOWLEDGE_AGE_S = 6.0
+MAX_READY_VIEW_AGE_S = 6.0
 # After the stop signal: how long the load balancer may still open connections,
 # and the fraction of the grace period during which requests are served.
 BALANCER_LAG_S = 2.5
@@ -70,14 +70,14 @@
         random_source = random.Random()
         bounds = settings.bounds
         transport = LinkPeerTransport(timer, settings.peer_address)
-        self._follower = FleetSyncClient(
+        self._sync_client = FleetSyncClient(
             timer,
             transport,
             settings.seed_peers,
             self._own_loads,
             self._apply_updates,
         )
-        view = self._follower.view
+        view = self._sync_client.view
         self._table = TargetTable(timer, view, settings.data_centre)
         self._admission = AdmissionQueue(
             timer,
@@ -86,7 +86,9 @@
             lambda request, target: target.reserve(request.demand),
             random_source,
         )
-        placer = Placer(timer, self._table, self._admission, self._follower, transport)
+        placer = Placer(
+            timer, self._table, self._admission, self._sync_client, transport
+        )
         self._statistics = Statistics()
         self._pool = ConnectionPool(timer, CONNECT_TIMEOUT_S, MAX_IDLE_S)
         budget = RetryBudget(
@@ -104,7 +106,7 @@
             budget,
             self._pool,
             PlatformProtocol(),
-            CallLog(timer, self._statistics, self._knowledge_age_s),
+            CallLog(timer, self._statistics, self._view_age_s),
             random_source,
         )
         self._front = HttpListener(
@@ -118,26 +120,28 @@
     async def run(self) -> None:
         """Serve until a stop signal, then drain."""
         stop = StopSignal(self._settings, self._timer)
-        SettingsWatcher(self._timer, lambda s: self._follower.use_seeds(s.seed_peers))
+        SettingsWatcher(
+            self._timer, lambda s: self._sync_client.use_seeds(s.seed_peers)
+        )
         await self._readiness.start()
         await self._front.start()
         await self._metrics.start()
-        task = supervise(self._timer, "fleet-follower", self._follower.run)
+        task = supervise(self._timer, "fleet-follower", self._sync_client.run)
         self._timer.call_every(PRUNE_PERIOD_S, self._pool.prune)
         self._timer.call_every(REVIEW_PERIOD_S, self._table.notify)
         self._timer.call_every(ADMISSION_PERIOD_S, self._admission.admit_waiting)
         events.emit(events.PROCESS_STARTED, vm=self._settings.vm, role="entry")
         await stop.wait()
         await self._drain(stop.received_s)
-        await self._follower.deregister()
+        await self._sync_client.deregister()
         task.cancel()
         await self._front.stop()
         events.emit(events.PROCESS_STOPPED, vm=self._settings.vm)
 
     def _metric_lines(self) -> list[str]:
-        view = self._follower.view
+        view = self._sync_client.view
         now_s = self._timer.now_s()
-        age_s = self._knowledge_age_s()
+        age_s = self._view_age_s()
         gauges = {
             "ready": int(self.is_ready()),
             "active_requests": self._front.active_exchanges,
@@ -159,12 +163,12 @@
 
     def _cold_allowance(self, service: Service) -> float:
         bounds = self._settings.bounds
-        share = self._follower.view.lease.share_at(self._timer.now_s())
+        share = self._sync_client.view.lease.share_at(self._timer.now_s())
         rate = bounds.cold_factor * service.cold_requests_per_s + bounds.cold_slack
         return ENTRY_COLD_FRACTION * share * rate
 
     def _apply_updates(self, updates: set[str]) -> None:
-        view = self._follower.view
+        view = self._sync_client.view
         if "state" in updates:
             self._apply_configuration(view.document)
         if "engines" in updates:
@@ -198,18 +202,18 @@
 
     # Readiness and drain.
 
-    def _knowledge_age_s(self) -> float:
+    def _view_age_s(self) -> float:
         """Return the time since the fleet view was last confirmed as current."""
-        return self._timer.now_s() - self._follower.view.confirmed_at_s
+        return self._timer.now_s() - self._sync_client.view.confirmed_at_s
 
     def is_ready(self) -> bool:
         """Return whether the load balancer should send callers to this entry."""
-        view = self._follower.view
+        view = self._sync_client.view
         return (
             not self._stopping
             and self._forwarder.routes is not None
             and bool(view.engines)
-            and self._knowledge_age_s() < MAX_READY_KNOWLEDGE_AGE_S
+            and self._view_age_s() < MAX_READY_VIEW_AGE_S
         )
 
     async def _handle_readiness(self, exchange: Exchange) -> None:
--- a/endivesill/platform/leader_placement.py
+++ b/endivesill/platform/leader_placement.py
@@ -36,7 +36,7 @@
       settings: the process's settings.
       timer: the timer service.
       replica: this VM's control replica.
-      hub: provides the engine list and the loads of the entries.
+      sync_service: provides the engine list and the loads of the entries.
       transport: the peer port.
       client: reads the reports and the health of engines.
     """
@@ -46,12 +46,12 @@
         settings: NodeSettings,
         timer: TimerService,
         replica: ControlReplica,
-        hub: FleetSyncService,
+        sync_service: FleetSyncService,
         transport: LinkPeerTransport,
         client: PlatformClient,
     ) -> None:
         self._replica = replica
-        self._hub = hub
+        self._sync_service = sync_service
         self._view = FleetView()
         self._services: dict[str, Service] = {}
         # The entries are in all data centres, so none of them counts as local.
@@ -60,15 +60,15 @@
         self._placement = PlacementService(
             timer,
             self._table,
-            hub.loads,
+            sync_service.loads,
             lambda name: self._services.get(name),
             (bounds.cold_factor, bounds.cold_slack),
-            hub.leads,
+            sync_service.leads,
             random.Random(),
         )
         transport.handle(PLACE_PATH, self._placement.handle)
-        transport.cancel_with_caller(PLACE_PATH)
-        hub.on_change(self._update)
+        transport.cancel_on_disconnect(PLACE_PATH)
+        sync_service.on_change(self._update)
         self._reports = EngineReports(
             timer, PlatformReports(timer, client), self._model_engines
         )
@@ -76,9 +76,11 @@
             timer,
             PlatformHealth(client, self._health_path),
             self._model_engines,
-            hub.apply_departures,
+            sync_service.apply_departures,
+        )
+        sync_service.reader.use_departure_sources(
+            self._leaving, self._reports.with_notice
         )
-        hub.reader.use_departure_sources(self._leaving, self._reports.with_notice)
         timer.call_every(ADMISSION_PERIOD_S, self._update_placement)
         timer.call_every(LOAD_LOG_PERIOD_S, self._placement.log_load)
 
@@ -102,7 +104,7 @@
         return self._services[service].health_path
 
     def _model_engines(self) -> list[EngineInfo]:
-        if not self._hub.leads():
+        if not self._sync_service.leads():
             return []
         model_services = {
             name for name, s in self._services.items() if s.model_engine is not None
@@ -110,14 +112,14 @@
         return [e for e in self._view.engines.values() if e.service in model_services]
 
     def _update_placement(self) -> None:
-        if self._hub.leads():
+        if self._sync_service.leads():
             self._table.update_reports(
                 self._reports.latest, self._reports.unresponsive()
             )
             self._placement.update()
 
     def _update(self) -> None:
-        if not self._hub.leads():
+        if not self._sync_service.leads():
             return
         configuration = current_configuration(self._replica.state)
         if configuration is not None and configuration["version"] != self._view.version:
@@ -127,7 +129,7 @@
         if index != self._view.evacuation_index:
             self._view.evacuation_index = index
             self._view.evacuated = frozenset(data_centres)
-        engine_list = self._hub.reader.current
+        engine_list = self._sync_service.reader.current
         if engine_list is not None and engine_list.stamp != self._view.list_stamp:
             self._view.list_stamp = engine_list.stamp
             self._view.engines = engine_list.engines
