--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -160,7 +160,7 @@
         exchange = call.exchange
         task = asyncio.current_task()
         assert task is not None
-        if exchange.gone.is_set():
+        if exchange.disconnected.is_set():
             self._log.ended(call, "caller-gone", "before it was placed")
             exchange.abort()
             return
@@ -170,7 +170,7 @@
             if call.route.kind is not RequestKind.UNSAFE or not call.may_have_run:
                 task.cancel()
 
-        exchange.on_gone = cancel_call
+        exchange.on_disconnect = cancel_call
         try:
             remaining_s = call.deadline_s - self._timer.now_s()
             await self._timer.wait_for(self._serve(call), remaining_s)
@@ -180,7 +180,7 @@
             self._log.ended(call, "caller-gone", "")
             raise
         finally:
-            exchange.on_gone = None
+            exchange.on_disconnect = None
 
     async def _serve(self, call: Call) -> None:
         self._budget.note_request(call.service.name)
@@ -336,10 +336,10 @@
         failure = error.failure
         if failure is Failure.NO_CONNECTION:
             self._table.note_no_connection(target, str(error))
-            self._pool.forget(target.info.address)
+            self._pool.close_idle(target.info.address)
         elif failure is Failure.WRONG_TARGET:
             self._table.note_replaced(target)
-            self._pool.forget(target.info.address)
+            self._pool.close_idle(target.info.address)
         elif failure is not Failure.TARGET_LEFT:
             self._table.note_outcome(target, succeeded=False)
         self._log.attempt_failed(call, target, str(error))
@@ -358,9 +358,9 @@
         have, and broken off if its stream has begun.
         """
         exchange = call.exchange
-        if exchange.answered:
+        if exchange.head_sent:
             self._log.ended(call, "broken", reason, **fields)
-            exchange.on_gone = None
+            exchange.on_disconnect = None
             exchange.abort()
         elif call.may_have_run:
             exchange.respond(status, [])
--- a/endivesill/targets/client.py
+++ b/endivesill/targets/client.py
@@ -152,7 +152,7 @@
                 self._pool,
                 address,
                 lambda: _encode_request(address, prefix, request),
-                longest_idle_s=0.0 if new_connection else None,
+                max_idle_s=0.0 if new_connection else None,
                 may_start=may_start or (lambda: True),
                 no_body=request.method == "HEAD",
             )
