--- a/bench/all.py
+++ b/bench/all.py
@@ -1,4 +1,4 @@
-"""`make bench`: every bench one after the other, JSON and plots in a folder."""
+"""Runs all benchmarks in turn (`make bench`); writes JSON reports and SVG plots."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = ["main"]
 
-BENCHES = (
+BENCHMARKS = (
     "routing",
     "membership",
     "credits",
@@ -24,42 +24,42 @@
     "entry",
     "entry_tables",
 )
-RESULTS = pathlib.Path("bench/results")
-LIMIT_S = 240.0
-BY_LOAD = re.compile(
+RESULTS_FOLDER = pathlib.Path("bench/results")
+TIMEOUT_S = 240.0
+LOAD_RESULT_PATTERN = re.compile(
     r"load (?P<load>[\d.]+), (?P<vms>\d+ VMs?) (?P<policy>[\w-]+)\(\d+\) "
     r"(?P<figure>gap p\d+|stall time|preemptions)$"
 )
 
 
-def run_bench(name: str, folder: pathlib.Path) -> dict[str, Any] | None:
-    """Run one bench in a process of its own and keep its JSON.
+def run_benchmark(name: str, folder: pathlib.Path) -> dict[str, Any] | None:
+    """Run one benchmark in a subprocess and store its JSON report.
 
     Returns:
-      The run, or None when the bench failed.
+      The report, or None if the benchmark timed out or printed no JSON.
     """
     print(f"== bench.{name}", file=sys.stderr, flush=True)
     command = [sys.executable, "-m", f"bench.{name}"]
     try:
-        finished = subprocess.run(
-            command, stdout=subprocess.PIPE, timeout=LIMIT_S, check=False
+        completed = subprocess.run(
+            command, stdout=subprocess.PIPE, timeout=TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
-        print(f"bench.{name} took over {LIMIT_S} s", file=sys.stderr)
+        print(f"bench.{name} did not finish within {TIMEOUT_S} s", file=sys.stderr)
         return None
     try:
-        document = json.loads(finished.stdout)
+        document = json.loads(completed.stdout)
     except ValueError:
         print(f"bench.{name} printed no JSON", file=sys.stderr)
         return None
-    (folder / f"{name}.json").write_bytes(finished.stdout)
+    (folder / f"{name}.json").write_bytes(completed.stdout)
     return document
 
 
 def write_plots(document: dict[str, Any], folder: pathlib.Path) -> None:
-    """Write one SVG for each slope of a run."""
+    """Write one SVG plot for each slope of a report."""
     for slope in document["slopes"]:
-        words = "".join(c if c.isalnum() else "-" for c in slope["name"]).strip("-")
+        slug = "".join(c if c.isalnum() else "-" for c in slope["name"]).strip("-")
         points = [(float(x), float(y)) for x, y in slope["points"]]
         svg = line_plot(
             f"{document['bench']}: {slope['name']}",
@@ -67,16 +67,16 @@
             slope["y_unit"],
             [Line(slope["name"], points)],
         )
-        path = folder / f"{document['bench']}-{words}.svg"
+        path = folder / f"{document['bench']}-{slug}.svg"
         path.write_text(svg, encoding="utf-8")
 
 
 def write_load_plots(document: dict[str, Any], folder: pathlib.Path) -> None:
-    """Write gaps, stalls and preemptions by load, both policies in one plot."""
+    """Plot token gaps, stall time and preemptions over load, all policies together."""
     plots: dict[str, dict[str, list[tuple[float, float]]]] = {}
     units: dict[str, str] = {}
     for result in document["results"]:
-        match = BY_LOAD.match(result["name"])
+        match = LOAD_RESULT_PATTERN.match(result["name"])
         if match is None:
             continue
         line = f"{match['policy']}, {match['vms']}"
@@ -94,25 +94,25 @@
         path.write_text(svg, encoding="utf-8")
 
 
-def main(folder: pathlib.Path = RESULTS, /) -> None:
-    """Run all benches; exit with 1 if one did not finish.
+def main(folder: pathlib.Path = RESULTS_FOLDER, /) -> None:
+    """Run all benchmarks; exit with 1 if one did not finish.
 
     Parameters
     ----------
     folder
-        Where the JSON files and plots go.
+        Folder for the JSON reports and plots.
     """
     folder.mkdir(parents=True, exist_ok=True)
     failed = []
-    for name in BENCHES:
-        document = run_bench(name, folder)
+    for name in BENCHMARKS:
+        document = run_benchmark(name, folder)
         if document is None:
             failed.append(name)
             continue
         write_plots(document, folder)
         write_load_plots(document, folder)
     if failed:
-        print(f"not finished: {', '.join(failed)}", file=sys.stderr)
+        print(f"benchmarks that did not finish: {', '.join(failed)}", file=sys.stderr)
         raise SystemExit(1)
 
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""`python -m bench.capacity`: the tables of docs/CAPACITY.md from the benches.
+"""Generates the tables of docs/CAPACITY.md: `python -m bench.capacity`.
 
-The benches' JSON that the page rests on is kept in docs/capacity/. With
-`--check` nothing is written and a page that does not match exits with 1.
+The tables are computed from the benchmark reports in docs/capacity/. With
+`--check`, nothing is written, and the exit status is 1 if the page is out of date.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 import cyclopts
 
 from bench.capacity_model import ROLES
-from bench.capacity_runs import Measured, Row
+from bench.capacity_runs import BenchmarkRuns, Row
 from bench.fit import fit_line
 
 __all__ = ["main", "render"]
 
 PAGE = pathlib.Path("docs/CAPACITY.md")
-KEPT_RUNS = pathlib.Path("docs/capacity")
+RUNS_FOLDER = pathlib.Path("docs/capacity")
 EXIT_STALE = 1
 
-_BLOCK = re.compile(
+_TABLE_BLOCK = re.compile(
     r"(?P<begin><!-- table: (?P<name>[^>]+) -->\n).*?(?P<end><!-- end -->)", re.DOTALL
 )
 
 
-def number(value: float) -> str:
-    """Return a figure with three significant digits."""
+def format_value(value: float) -> str:
+    """Return a value with three significant digits, or without decimals from 1000."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -39,22 +39,22 @@
 
 
 def role_table(rows: list[Row]) -> str:
-    """Return a role's rows as a table."""
+    """Return the rows of a role as a Markdown table."""
     lines = [
         "| quantity at the target size | figure | unit | bound | carried | from |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for row in rows:
-        bound = "" if row.bound is None else number(row.bound)
+        bound = "" if row.bound is None else format_value(row.bound)
         lines.append(
-            f"| {row.quantity} | {number(row.value)} | {row.unit} | {bound} "
-            f"| {row.carried} | {row.source} |"
+            f"| {row.quantity} | {format_value(row.value)} | {row.unit} | {bound} "
+            f"| {row.verdict} | {row.source} |"
         )
     return "\n".join(lines) + "\n"
 
 
 def slope_table(runs: dict[str, dict[str, Any]]) -> str:
-    """Return all slopes with their fit and residual."""
+    """Return a Markdown table of all slopes with their fit and residual."""
     lines = [
         "| bench | slope | sizes | for each | at zero | residual | unit |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -62,7 +62,7 @@
     for bench, run in sorted(runs.items()):
         for slope in run["slopes"]:
             fit = fit_line(slope["points"])
-            sizes = ", ".join(number(x) for x, _ in slope["points"])
+            sizes = ", ".join(format_value(x) for x, _ in slope["points"])
             lines.append(
                 f"| {bench} | {slope['name']} | {sizes} {slope['x_unit']} "
                 f"| {fit.slope:.3g} | {fit.intercept:.3g} "
@@ -72,7 +72,7 @@
 
 
 def run_table(runs: dict[str, dict[str, Any]]) -> str:
-    """Return which runs the page rests on."""
+    """Return a Markdown table of the runs that the page is computed from."""
     lines = [
         "| bench | commit | seed | cores | python |",
         "| --- | --- | --- | --- | --- |",
@@ -86,48 +86,50 @@
     return "\n".join(lines) + "\n"
 
 
-def render(page: str, measured: Measured) -> str:
-    """Return the page with all its tables computed anew.
+def render(page: str, benchmark_runs: BenchmarkRuns) -> str:
+    """Return the page with all its tables recomputed.
 
     Raises:
-      KeyError: the page names an unknown table, or a figure is missing.
+      KeyError: the page names an unknown table, or a report lacks a result.
     """
 
     def table(match: re.Match[str]) -> str:
         name = match["name"].strip()
         if name == "slopes":
-            text = slope_table(measured.runs())
+            text = slope_table(benchmark_runs.by_benchmark())
         elif name == "runs":
-            text = run_table(measured.runs())
+            text = run_table(benchmark_runs.by_benchmark())
         else:
-            text = role_table(ROLES[name](measured))
+            text = role_table(ROLES[name](benchmark_runs))
         return match["begin"] + text + match["end"]
 
-    return _BLOCK.sub(table, page)
+    return _TABLE_BLOCK.sub(table, page)
 
 
 def main(*, results: pathlib.Path | None = None, check: bool = False) -> None:
-    """Recompute the page, or check it.
+    """Recompute the tables of the page, or check that they are current.
 
     Parameters
     ----------
     results
-        A folder with new runs, which are kept for the page first.
+        Folder with new reports, which are first copied to docs/capacity/.
     check
-        Write nothing; exit with 1 if the page is stale.
+        Write nothing; exit with 1 if the page is out of date.
     """
     if results is not None:
-        KEPT_RUNS.mkdir(exist_ok=True)
+        RUNS_FOLDER.mkdir(exist_ok=True)
         for path in sorted(results.glob("*.json")):
-            shutil.copy(path, KEPT_RUNS / path.name)
+            shutil.copy(path, RUNS_FOLDER / path.name)
     page = PAGE.read_text(encoding="utf-8")
-    fresh = render(page, Measured(KEPT_RUNS))
+    rendered = render(page, BenchmarkRuns(RUNS_FOLDER))
     if check:
-        if fresh != page:
-            print(f"{PAGE} is stale: run python -m bench.capacity", file=sys.stderr)
+        if rendered != page:
+            print(
+                f"{PAGE} is out of date: run python -m bench.capacity", file=sys.stderr
+            )
             raise SystemExit(EXIT_STALE)
         return
-    PAGE.write_text(fresh, encoding="utf-8")
+    PAGE.write_text(rendered, encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/bench/capacity_runs.py
+++ b/bench/capacity_runs.py
@@ -1,4 +1,4 @@
-"""The target size and the measured runs that docs/CAPACITY.md rests on."""
+"""The design size and the benchmark reports behind docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from bench.fit import Fit, fit_line
 
-__all__ = ["TARGET", "Measured", "Row", "TargetSize"]
+__all__ = ["DESIGN_SIZE", "BenchmarkRuns", "DeploymentSize", "Row"]
 
 
 @attrs.frozen
-class TargetSize:
-    """The size that the users expect within two years."""
+class DeploymentSize:
+    """The size of the whole deployment that the users expect within two years."""
 
     nodes: int = 560
     control_vms: int = 12
@@ -29,52 +29,52 @@
     changes_per_day: int = 1800
     failures_per_day: int = 18
     restarts_per_day: int = 170
-    tokens_per_stream_s: float = 20.0
+    tokens_per_s_per_stream: float = 20.0
 
     @property
     def entries(self) -> int:
-        """Nodes that are not set aside for control."""
+        """Nodes that run entries; the others are reserved for control replicas."""
         return self.nodes - self.control_vms
 
     @property
     def entry_tokens_per_s(self) -> float:
-        """Tokens a second through one entry."""
+        """Tokens per second that one entry forwards."""
         return self.tokens_per_s / self.entries
 
     @property
     def entry_requests_per_s(self) -> float:
-        """Requests a second at one entry."""
+        """Requests per second that one entry receives."""
         return self.requests_per_s / self.entries
 
     @property
     def entry_streams(self) -> float:
-        """Streams at once at one entry."""
-        return self.entry_tokens_per_s / self.tokens_per_stream_s
+        """Concurrent streams at one entry."""
+        return self.entry_tokens_per_s / self.tokens_per_s_per_stream
 
     @property
-    def targets_per_home(self) -> float:
-        """Targets that one entry is home of."""
+    def targets_per_entry(self) -> float:
+        """Targets that one entry owns on average."""
         return self.targets / self.entries
 
     @property
     def entries_per_data_centre(self) -> float:
-        """Entries in one data centre."""
+        """Entries in one data centre on average."""
         return self.entries / self.data_centres
 
 
-TARGET = TargetSize()
+DESIGN_SIZE = DeploymentSize()
 
 
 @attrs.frozen
 class Row:
-    """One line of a role's table.
+    """One row of the table of a role.
 
     Attributes:
-      quantity: what is worked out.
-      value: the figure at the target size.
-      unit: its unit.
-      source: the bench and slope it rests on.
-      bound: the users' bound; None where there is none.
+      quantity: what is estimated.
+      value: the estimate at the design size.
+      unit: the unit of `value` and `bound`.
+      source: the benchmark and slope that the estimate is based on.
+      bound: the upper bound that is required; None without one.
     """
 
     quantity: str
@@ -84,50 +84,51 @@
     bound: float | None = None
 
     @property
-    def carried(self) -> str:
-        """Whether today's mechanism stays within the bound."""
+    def verdict(self) -> str:
+        """Whether the value is within the bound, as Markdown; empty without one."""
         if self.bound is None:
             return ""
         return "yes" if self.value <= self.bound else "**no**"
 
 
-class Measured:
-    """The benches' runs.
+class BenchmarkRuns:
+    """The stored reports of all benchmarks.
 
     Args:
-      folder: the JSON files, one a bench.
+      folder: folder of JSON reports, one file per benchmark.
 
     Raises:
       OSError: a file cannot be read.
-      ValueError: a file is not the JSON of a run.
+      ValueError: a file is not valid JSON.
+      KeyError: a report does not name its benchmark.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        self._runs: dict[str, dict[str, Any]] = {}
+        self._reports: dict[str, dict[str, Any]] = {}
         for path in sorted(folder.glob("*.json")):
-            document = json.loads(path.read_text(encoding="utf-8"))
-            self._runs[document["bench"]] = document
+            report = json.loads(path.read_text(encoding="utf-8"))
+            self._reports[report["bench"]] = report
 
-    def runs(self) -> dict[str, dict[str, Any]]:
-        """Return the runs by bench."""
-        return self._runs
+    def by_benchmark(self) -> dict[str, dict[str, Any]]:
+        """Return the reports by benchmark name; they are shared, not copies."""
+        return self._reports
 
     def fit(self, bench: str, name: str) -> Fit:
-        """Return the line through a slope's points.
+        """Return the line fitted to the points of a slope.
 
         Raises:
           KeyError: there is no such slope.
         """
-        for slope in self._runs[bench]["slopes"]:
+        for slope in self._reports[bench]["slopes"]:
             if slope["name"] == name:
                 return fit_line(slope["points"])
-        raise KeyError(f"bench {bench} has no slope {name!r}")
+        raise KeyError(f"benchmark {bench} has no slope {name!r}")
 
-    def at(self, bench: str, name: str, size: float) -> float:
-        """Return a figure at a size: the line's, but no less than was measured.
+    def extrapolate(self, bench: str, name: str, size: float) -> float:
+        """Return the value of a slope, extrapolated to a size.
 
-        A line that falls with the size says nothing far beyond it, so the figure
-        of the largest measured size counts there.
+        A falling line says nothing about sizes far beyond the measured ones, so
+        in that case the value at the largest measured size is returned.
 
         Raises:
           KeyError: there is no such slope.
@@ -135,29 +136,29 @@
         fit = self.fit(bench, name)
         if fit.slope >= 0:
             return fit.at(size)
-        for slope in self._runs[bench]["slopes"]:
+        for slope in self._reports[bench]["slopes"]:
             if slope["name"] == name:
                 return max(slope["points"])[1]
         raise KeyError(name)
 
-    def first(self, bench: str, name: str) -> float:
-        """Return a slope's figure at its smallest size.
+    def at_smallest_size(self, bench: str, name: str) -> float:
+        """Return the value of a slope at its smallest measured size.
 
         Raises:
           KeyError: there is no such slope.
         """
-        for slope in self._runs[bench]["slopes"]:
+        for slope in self._reports[bench]["slopes"]:
             if slope["name"] == name:
                 return min(slope["points"])[1]
         raise KeyError(name)
 
     def result(self, bench: str, name: str) -> float:
-        """Return a figure by the beginning of its name.
+        """Return the value of the first result whose name has a prefix.
 
         Raises:
-          KeyError: there is no such figure.
+          KeyError: there is no such result.
         """
-        for result in self._runs[bench]["results"]:
+        for result in self._reports[bench]["results"]:
             if result["name"].startswith(name):
                 return result["value"]
-        raise KeyError(f"bench {bench} has no figure {name!r}")
+        raise KeyError(f"benchmark {bench} has no result {name!r}")
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,6 +1,6 @@
-"""`python -m bench.compare A B`: two runs of the benches side by side.
+"""Compares two benchmark runs: `python -m bench.compare A B`.
 
-A and B are JSON files of one bench, or folders of them.
+A and B are JSON reports of one benchmark, or folders of such reports.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 __all__ = ["Change", "compare", "main"]
 
-EXIT_NOTHING_IN_COMMON = 1
+EXIT_NO_COMMON_RESULTS = 1
 
 
 @attrs.frozen
 class Change:
-    """One figure in both runs.
+    """A result that both runs have.
 
     Attributes:
-      bench: the bench.
+      bench: the name of the benchmark.
       name: what was measured.
-      unit: the unit.
-      before: the figure of run A.
-      after: the figure of run B.
+      unit: the unit of both values.
+      before: the value in run A.
+      after: the value in run B.
     """
 
     bench: str
@@ -38,14 +38,14 @@
 
     @property
     def percent(self) -> float | None:
-        """The change in percent; None from zero."""
+        """The change in percent of `before`; None if `before` is zero."""
         if not self.before:
             return None
         return 100.0 * (self.after - self.before) / abs(self.before)
 
 
 def read_runs(path: pathlib.Path) -> dict[str, dict[str, Any]]:
-    """Return the runs of a file or folder by bench."""
+    """Return the reports of a file or folder, by benchmark name."""
     files = sorted(path.glob("*.json")) if path.is_dir() else [path]
     documents = [json.loads(file.read_text(encoding="utf-8")) for file in files]
     return {document["bench"]: document for document in documents}
@@ -54,7 +54,7 @@
 def compare(
     before: dict[str, dict[str, Any]], after: dict[str, dict[str, Any]]
 ) -> list[Change]:
-    """Return the figures that both have."""
+    """Return the results that both runs have, paired by name."""
     changes = []
     for bench in sorted(before.keys() & after.keys()):
         old = {result["name"]: result for result in before[bench]["results"]}
@@ -70,7 +70,7 @@
 
 
 def format_change(change: Change) -> str:
-    """Return one figure as a line of the table."""
+    """Return one change as a line of the table."""
     percent = "" if change.percent is None else f"{change.percent:+.1f} %"
     return (
         f"{change.bench:<14} {change.name:<52} {change.before:>12.4g} "
@@ -79,11 +79,11 @@
 
 
 def main(before: pathlib.Path, after: pathlib.Path, /) -> None:
-    """Compare two runs, A before and B after."""
+    """Compare two runs: BEFORE is the reference, AFTER the new run."""
     changes = compare(read_runs(before), read_runs(after))
     if not changes:
-        print("the runs have no figure in common", file=sys.stderr)
-        raise SystemExit(EXIT_NOTHING_IN_COMMON)
+        print("the runs have no results in common", file=sys.stderr)
+        raise SystemExit(EXIT_NO_COMMON_RESULTS)
     for change in changes:
         print(format_change(change))
 
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, for the capacity page."""
+"""Least-squares fits of measured points, for the capacity page."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 __all__ = ["Fit", "fit_line"]
 
-MINIMUM_POINTS = 3
+MIN_POINTS = 3
 
 
 @attrs.frozen
@@ -16,10 +16,10 @@
     """A least-squares line.
 
     Attributes:
-      slope: the figure's growth for one more of the size.
-      intercept: the figure at size zero.
-      residual: the largest distance of a point from the line, as a share of
-        the largest figure.
+      slope: increase of the value per unit of size.
+      intercept: the value at size zero.
+      residual: the largest vertical distance of a point from the line, as a
+        fraction of the largest absolute value.
     """
 
     slope: float
@@ -27,26 +27,26 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Return the figure at a size."""
+        """Return the fitted value at a size."""
         return self.intercept + self.slope * size
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Fit:
-    """Fit a line through three points or more.
+    """Fit a line to pairs of size and value.
 
     Raises:
-      ValueError: there are fewer points, or all have one size.
+      ValueError: there are fewer than three points, or all have the same size.
     """
-    if len(points) < MINIMUM_POINTS:
-        raise ValueError(f"a slope needs {MINIMUM_POINTS} points at least")
-    count = len(points)
-    mean_x = sum(x for x, _ in points) / count
-    mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    if not spread:
+    if len(points) < MIN_POINTS:
+        raise ValueError(f"a fit needs at least {MIN_POINTS} points")
+    point_count = len(points)
+    mean_x = sum(x for x, _ in points) / point_count
+    mean_y = sum(y for _, y in points) / point_count
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    if not squared_deviations:
         raise ValueError("all points have the same size")
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / squared_deviations
     intercept = mean_y - slope * mean_x
-    largest = max(abs(y) for _, y in points) or 1.0
-    distance = max(abs(y - intercept - slope * x) for x, y in points)
-    return Fit(slope, intercept, distance / largest)
+    max_value = max(abs(y) for _, y in points) or 1.0
+    max_distance = max(abs(y - intercept - slope * x) for x, y in points)
+    return Fit(slope, intercept, max_distance / max_value)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,6 +1,6 @@
-"""The shape in which every bench prints its figures.
+"""The output format that all benchmarks share.
 
-JSON goes to stdout and a readable table to stderr:
+A report is printed as JSON to stdout and as a readable table to stderr:
 `{"bench", "seed", "machine", "commit", "results": [...], "slopes": [...]}`.
 """
 
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class Result:
-    """One figure.
+    """One measured value.
 
     Attributes:
       name: what was measured.
-      value: the figure.
-      unit: its unit.
-      target: the bound that the users or the design state, in words.
-      holds: whether the figure meets it; None where there is no target.
+      value: the measured value.
+      unit: the unit of `value`.
+      target: the requirement, in words; empty without one.
+      holds: whether the value meets the target; None without a target.
     """
 
     name: str
@@ -39,13 +39,13 @@
 
 @attrs.frozen
 class Slope:
-    """A figure over a size, for the capacity page.
+    """A value measured at several sizes, which the capacity page extrapolates.
 
     Attributes:
       name: what was measured.
-      x_unit: what the size counts.
-      y_unit: the figure's unit.
-      points: pairs of size and figure, three or more.
+      x_unit: the unit of the size.
+      y_unit: the unit of the measured value.
+      points: pairs of size and measured value, three or more.
     """
 
     name: str
@@ -55,11 +55,11 @@
 
 
 class Report:
-    """The figures of one run of a bench.
+    """The results of one run of a benchmark.
 
     Args:
-      bench: the bench's name.
-      seed: the seed of the run.
+      bench: the name of the benchmark.
+      seed: seed of the random choices of the run.
     """
 
     def __init__(self, bench: str, seed: int = 1) -> None:
@@ -76,17 +76,17 @@
         target: str = "",
         holds: bool | None = None,
     ) -> None:
-        """Add one figure."""
+        """Add one result; see `Result`."""
         self.results.append(Result(name, value, unit, target, holds))
 
     def slope(
         self, name: str, x_unit: str, y_unit: str, points: list[tuple[float, float]]
     ) -> None:
-        """Add a figure over three sizes or more."""
+        """Add a value measured at three sizes or more; see `Slope`."""
         self.slopes.append(Slope(name, x_unit, y_unit, points))
 
     def document(self) -> dict[str, Any]:
-        """Return the run as a JSON object."""
+        """Return the report as a JSON object, with the machine and the commit."""
         return {
             "bench": self.bench,
             "seed": self.seed,
@@ -97,14 +97,14 @@
         }
 
     def print(self) -> None:
-        """Print the JSON to stdout and the table to stderr."""
+        """Print the JSON to stdout and the table of results to stderr."""
         print(json.dumps(self.document(), indent=1))
         for result in self.results:
-            print(table_line(result), file=sys.stderr)
+            print(format_result(result), file=sys.stderr)
 
 
-def table_line(result: Result) -> str:
-    """Return one figure as a line of the table."""
+def format_result(result: Result) -> str:
+    """Return one result as a line of the table."""
     verdict = {None: "", True: "holds", False: "FALLS SHORT"}[result.holds]
     target = f"target {result.target}" if result.target else ""
     return (
@@ -113,7 +113,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Return what machine this is."""
+    """Return the cores, Python version and platform of this machine."""
     return {
         "cores": os.cpu_count(),
         "python": platform.python_version(),
@@ -123,7 +123,7 @@
 
 
 def commit() -> str:
-    """Return the commit of the working tree, or an empty string outside git."""
+    """Return the abbreviated commit checked out, or an empty string outside git."""
     finished = subprocess.run(
         ["git", "rev-parse", "--short=12", "HEAD"],
         capture_output=True,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,34 +1,34 @@
-"""Tests of the capacity page's arithmetic."""
+"""Tests of the estimates on the capacity page."""
 
 import pathlib
 import unittest
 
-from bench.capacity import KEPT_RUNS, PAGE, render
-from bench.capacity_runs import TARGET, Measured
+from bench.capacity import PAGE, RUNS_FOLDER, render
+from bench.capacity_runs import DESIGN_SIZE, BenchmarkRuns
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
 class CapacityPageTest(unittest.TestCase):
     def setUp(self):
-        self.measured = Measured(ROOT / KEPT_RUNS)
+        self.runs = BenchmarkRuns(ROOT / RUNS_FOLDER)
         self.page = (ROOT / PAGE).read_text(encoding="utf-8")
 
-    def test_the_page_matches_the_kept_runs(self):
-        self.assertEqual(render(self.page, self.measured), self.page)
+    def test_the_page_matches_the_stored_reports(self):
+        self.assertEqual(render(self.page, self.runs), self.page)
 
-    def test_a_changed_figure_makes_the_page_stale(self):
-        for slope in self.measured.runs()["entry"]["slopes"]:
+    def test_a_changed_value_makes_the_page_out_of_date(self):
+        for slope in self.runs.by_benchmark()["entry"]["slopes"]:
             slope["points"] = [[x, 2 * y] for x, y in slope["points"]]
-        self.assertNotEqual(render(self.page, self.measured), self.page)
+        self.assertNotEqual(render(self.page, self.runs), self.page)
 
-    def test_a_falling_line_counts_as_its_largest_size(self):
-        slopes = self.measured.runs()["entry"]["slopes"]
+    def test_a_falling_line_is_not_extrapolated(self):
+        slopes = self.runs.by_benchmark()["entry"]["slopes"]
         slopes.append({"name": "falls", "points": [[1, 9.0], [2, 8.0], [3, 6.0]]})
-        self.assertEqual(6.0, self.measured.at("entry", "falls", 100))
+        self.assertEqual(6.0, self.runs.extrapolate("entry", "falls", 100))
 
 
-class TargetSizeTest(unittest.TestCase):
-    def test_the_size_is_that_of_the_letter(self):
-        self.assertEqual((560, 12, 2400), (TARGET.nodes, 12, TARGET.targets))
-        self.assertAlmostEqual(9854, TARGET.entry_tokens_per_s, delta=1)
+class DeploymentSizeTest(unittest.TestCase):
+    def test_the_size_is_the_one_the_users_expect(self):
+        self.assertEqual((560, 12, 2400), (DESIGN_SIZE.nodes, 12, DESIGN_SIZE.targets))
+        self.assertAlmostEqual(9854, DESIGN_SIZE.entry_tokens_per_s, delta=1)
