--- a/bench/routing_entry.py
+++ b/bench/routing_entry.py
@@ -1,4 +1,4 @@
-"""The entries of the routing bench: the real routing over a memory network."""
+"""The entries of the routing benchmark: the real router over a memory network."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Entry:
-    """One VM: home of some engines, and entry for its part of the requests."""
+    """One VM, which owns some of the engines and routes a share of the requests."""
 
     def __init__(
         self,
         timer: TimerService,
-        current: Callable[[], Configuration],
+        configuration: Callable[[], Configuration],
         engines: FakeEngines,
         network: MemoryNetwork,
         membership: StaticMembership,
@@ -31,54 +31,61 @@
         self.name = name
         peers = network.transport(name)
         prefixes = PrefixIndex()
-        self.lender = CreditServer(timer, current, name, membership, peers)
-        self.wallet = CreditClient(timer, current, name, self.lender, membership, peers)
+        self.credit_server = CreditServer(timer, configuration, name, membership, peers)
+        self.credit_client = CreditClient(
+            timer, configuration, name, self.credit_server, membership, peers
+        )
         self.router = Router(
             timer,
-            current,
-            credit_client=self.wallet,
+            configuration,
+            credit_client=self.credit_client,
             prefixes=prefixes,
             entry_name=name,
         )
         self.monitor = TargetMonitor(
-            timer, current, engines, self.lender.is_owner, self.lender, prefixes
+            timer,
+            configuration,
+            engines,
+            self.credit_server.is_owner,
+            self.credit_server,
+            prefixes,
         )
 
     async def start(self) -> None:
-        """Begin to hold credits and to poll."""
-        await self.wallet.start()
+        """Start the credit client and the polling of owned engines."""
+        await self.credit_client.start()
         await self.monitor.start()
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop polling and the credit client."""
         await self.monitor.stop()
-        await self.wallet.stop()
+        await self.credit_client.stop()
 
     def assume_warm(self, target: Target) -> None:
-        """Begin as a home that has known a warm target for long."""
-        if self.lender.is_owner(target):
-            self.lender.allocator(target).assume_warm()
+        """Skip the takeover period and slow start of a target if this VM owns it."""
+        if self.credit_server.is_owner(target):
+            self.credit_server.allocator(target).assume_warm()
 
 
 def make_entries(
     count: int,
     timer: TimerService,
-    current: Callable[[], Configuration],
+    configuration: Callable[[], Configuration],
     engines: FakeEngines,
     network: MemoryNetwork,
 ) -> list[Entry]:
-    """Return so many entries; the engines' homes go round among them."""
+    """Return `count` entries, which own the engines in round-robin order."""
     names = [f"v{number}" for number in range(count)]
-    targets = list(current().targets)
-    homes = {name: names[index % count] for index, name in enumerate(targets)}
+    targets = list(configuration().targets)
+    owners = {name: names[index % count] for index, name in enumerate(targets)}
     records = tuple(VmRecord(n, n, n, "dk-west-a", "dk-west") for n in names)
     return [
         Entry(
             timer,
-            current,
+            configuration,
             engines,
             network,
-            StaticMembership(name, records, homes),
+            StaticMembership(name, records, owners),
             name,
         )
         for name in names
--- a/bench/routing_quantiles.py
+++ b/bench/routing_quantiles.py
@@ -1,4 +1,4 @@
-"""Quantiles of what a run of the routing bench counted."""
+"""Quantiles of the latencies measured in a run of the routing benchmark."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    """Return 50, 95 and 99 in 100 of some values."""
+    """Return the quantiles `p50`, `p95` and `p99` of some values; zeros without any."""
     ordered = sorted(values) or [0.0]
     last = len(ordered) - 1
     return {
@@ -18,16 +18,21 @@
 
 
 def gap_quantiles(gaps: dict[int, int]) -> dict[str, float]:
-    """Return 50, 95 and 99 in 100 of the counted gaps."""
+    """Return `p50`, `p95` and `p99` in ms of a histogram of token gaps.
+
+    Args:
+      gaps: number of gaps by bucket of `GAP_BUCKET_MS`. A quantile is the upper
+        bound of its bucket, or zero without gaps.
+    """
     total = sum(gaps.values()) or 1
-    found = {}
+    quantile_by_name = {}
     for share in (50, 95, 99):
-        seen = 0
+        cumulative = 0
         for bucket in sorted(gaps):
-            seen += gaps[bucket]
-            if seen * 100 >= share * total:
-                found[f"p{share}"] = (bucket + 1) * GAP_BUCKET_MS
+            cumulative += gaps[bucket]
+            if cumulative * 100 >= share * total:
+                quantile_by_name[f"p{share}"] = (bucket + 1) * GAP_BUCKET_MS
                 break
         else:
-            found[f"p{share}"] = 0.0
-    return found
+            quantile_by_name[f"p{share}"] = 0.0
+    return quantile_by_name
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -1,4 +1,4 @@
-"""One run of the routing bench: the real router over fakes of engines."""
+"""One run of the routing benchmark: the real router with simulated engines."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 from endivesill.routing import Grant, Outcome, RouteRequest
 from endivesill.timer import ManualTimer
 
-__all__ = ["Figures", "Plan", "run_plan"]
+__all__ = ["Plan", "RunResults", "run_plan"]
 
 ENGINES = 6
 DATA_CENTRES = ("dk-west-a", "dk-west-b", "dk-west-c")
 STALL_S = 0.25
 WARM_UP_S = 40.0
-DRAIN_S = 150.0
+MAX_DRAIN_S = 150.0
 DEADLINE_S = 10.0
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 COLD_SLOTS = 4
 LONG_STEP_TOKENS = 700
 
 
 @attrs.frozen
 class Plan:
-    """What one run does.
+    """The parameters of one run.
 
     Attributes:
       policy: the routing policy.
-      limit: the targets' `maximum_slots`.
-      rate_per_s: requests that arrive in a second.
-      duration_s: how long they arrive.
-      scenario: the fault that is brought about, or empty.
-      entries: VMs that the requests go to by turns.
+      limit: `maximum_slots` of every target.
+      rate_per_s: mean arrival rate of requests.
+      duration_s: time until the last arrival, with the warm-up.
+      scenario: name of the injected fault; empty for none.
+      entries: number of VMs that receive the requests in round-robin order.
     """
 
     policy: str
@@ -61,13 +61,16 @@
 
 
 @attrs.define
-class Figures:
-    """What one run measured between its warm-up and its last arrival.
-
-    Goodput counts the tokens of whole answers; timely goodput only those whose
-    first token met the deadline. The share of long steps is that of the gaps
-    which a step with `LONG_STEP_TOKENS` of prefill or more made; the share of
-    lone prompts, that of those in which one prompt alone made it.
+class RunResults:
+    """The results of one run between its warm-up and its last arrival.
+
+    Goodput counts the tokens of completed responses, timely goodput only those of
+    responses whose first token met the deadline. `long_step_share` is the share of
+    token gaps caused by a step that prefilled `LONG_STEP_TOKENS` or more, and
+    `lone_prompt_share` the share caused by such a step with a single prompt.
+    `cold_excess` is the largest excess of running requests on a cold engine over
+    its allowance; `starts_in_closed` counts attempts that started in a data centre
+    that was taken out.
     """
 
     policy: str
@@ -92,8 +95,8 @@
     lone_prompt_share: float = 0.0
 
 
-class Run:
-    """The state of a run."""
+class Simulation:
+    """The simulated fleet, workload and results of one run."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -115,12 +118,12 @@
             name: FakeEngine(name, self.spec, self.timer, plan.seed + number)
             for number, name in enumerate(self.configuration.targets)
         }
-        self.figures = Figures(plan.policy, plan.limit)
-        self.gaps: dict[int, int] = {}
-        self.first_tokens: list[tuple[int, float]] = []
-        self.good_tokens = 0
+        self.results = RunResults(plan.policy, plan.limit)
+        self.gap_histogram: dict[int, int] = {}
+        self.first_token_times: list[tuple[int, float]] = []
+        self.completed_tokens = 0
         self.timely_tokens = 0
-        self._wire()
+        self._make_entries()
 
     def _configuration(self, taken_out: bool) -> Configuration:
         targets = {}
@@ -135,7 +138,7 @@
                 maximum_slots=self.plan.limit,
                 memory_tokens=self.spec.memory_tokens,
             )
-        centres = {
+        data_centres = {
             name: DataCentre(
                 name,
                 region="dk-west",
@@ -145,12 +148,12 @@
         }
         return Configuration(
             1,
-            data_centres=centres,
+            data_centres=data_centres,
             services={"plan-llm": self.service},
             targets=targets,
         )
 
-    def _wire(self) -> None:
+    def _make_entries(self) -> None:
         self.network = MemoryNetwork(self.timer, self.plan.seed)
         self.entries = make_entries(
             self.plan.entries,
@@ -161,31 +164,31 @@
         )
 
     def assume_warm(self) -> None:
-        """Begin with homes that have known warm targets for long."""
+        """Skip the takeover period and slow start of all targets."""
         for target in self.configuration.targets.values():
             for entry in self.entries:
                 entry.assume_warm(target)
 
     def allowance_slots(self, target: Target) -> int:
-        """Return what the target's home lends at most."""
-        home = next(e for e in self.entries if e.lender.is_owner(target))
-        return home.lender.allocator(target).allowance_slots()
+        """Return the slots that the target's owner may allocate in total."""
+        owner = next(e for e in self.entries if e.credit_server.is_owner(target))
+        return owner.credit_server.allocator(target).allowance_slots()
 
     def elapsed_s(self) -> float:
-        """Return the time since the run's start."""
+        """Return the simulated time since the start of the run."""
         return self.timer.now_s() - self.start_s
 
-    def measures(self) -> bool:
-        """Tell whether the warm-up is over and arrivals go on."""
+    def is_measuring(self) -> bool:
+        """Tell whether the warm-up is over and requests still arrive."""
         return WARM_UP_S <= self.elapsed_s() < self.plan.duration_s
 
     async def serve(self, arrival: Arrival, entry: Entry) -> None:
-        """Take one request through its attempts."""
-        measured = self.measures()
+        """Route one request and retry it until it completes or attempts run out."""
+        measured = self.is_measuring()
         arrived_s = self.timer.now_s()
-        self.figures.requests += measured
+        self.results.requests += measured
         excluded: set[str] = set()
-        for _ in range(MAXIMUM_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             request = RouteRequest(
                 request_id="r",
                 service=self.service,
@@ -199,44 +202,44 @@
             try:
                 grant = await entry.router.acquire(request)
             except errors.RefusedError:
-                self.figures.refused += measured
+                self.results.refused += measured
                 return
             if not grant.may_start():
                 grant.finished(Outcome.NOT_RUN)
                 continue
             attempt = Attempt(self, arrival, grant, arrived_s, measured)
             if await attempt.run():
-                self.figures.completed += measured
+                self.results.completed += measured
                 return
             excluded.add(grant.target.name)
             if attempt.sequence.produced:
                 break
-        self.figures.broken += measured
+        self.results.broken += measured
 
-    def closed(self, target: Target) -> bool:
+    def is_taken_out(self, target: Target) -> bool:
         """Tell whether the target's data centre is taken out."""
         return self.configuration.data_centres[target.data_centre].taken_out
 
-    def note_cold_start(self, target: Target) -> None:
-        """Compare a start on a cold engine with the target's allowance."""
+    def record_cold_start(self, target: Target) -> None:
+        """Record how far a start on a cold engine exceeds the target's allowance."""
         engine = self.engines[target.name]
         if not engine.cold_left or self.plan.policy != "credit":
             return
-        allowance = self.allowance_slots(target)
-        excess = engine.cold_running() + 1 - allowance
-        self.figures.cold_excess = max(self.figures.cold_excess, excess)
+        max_slots = self.allowance_slots(target)
+        excess = engine.cold_running() + 1 - max_slots
+        self.results.cold_excess = max(self.results.cold_excess, excess)
 
-    def note_gap(self, gap_s: float) -> None:
-        """Count a gap between two tokens of a stream."""
-        if not self.measures():
+    def record_gap(self, gap_s: float) -> None:
+        """Record the time between two tokens of a stream."""
+        if not self.is_measuring():
             return
         bucket = int(1000 * gap_s / GAP_BUCKET_MS)
-        self.gaps[bucket] = self.gaps.get(bucket, 0) + 1
+        self.gap_histogram[bucket] = self.gap_histogram.get(bucket, 0) + 1
         if gap_s > STALL_S:
-            self.figures.stall_s += gap_s - STALL_S
+            self.results.stall_s += gap_s - STALL_S
 
-    async def arrive(self) -> None:
-        """Let the requests arrive at their times."""
+    async def serve_arrivals(self) -> None:
+        """Start each request at its arrival time and wait for all of them."""
         plan = self.plan
         tasks: list[asyncio.Task[None]] = []
         for arrival in make_arrivals(plan.seed, plan.rate_per_s, plan.duration_s):
@@ -245,48 +248,53 @@
             tasks.append(asyncio.ensure_future(self.serve(arrival, entry)))
         await asyncio.gather(*tasks)
 
-    def schedule(self) -> None:
-        """Bring the scenario's fault about."""
-        first = self.engines["e0"]
-        at = self.timer.call_after
-        span_s = self.plan.duration_s - WARM_UP_S
-        begin_s = WARM_UP_S + 0.2 * span_s
-        end_s = WARM_UP_S + 0.5 * span_s
+    def schedule_faults(self) -> None:
+        """Schedule the fault of the scenario within the measured time."""
+        first_engine = self.engines["e0"]
+        run_after = self.timer.call_after
+        measurement_s = self.plan.duration_s - WARM_UP_S
+        begin_s = WARM_UP_S + 0.2 * measurement_s
+        end_s = WARM_UP_S + 0.5 * measurement_s
         faults: dict[str, list[tuple[float, Callable[[], None]]]] = {
             "": [],
-            "turns-cold": [(begin_s, first.turn_cold)],
-            "dies": [(begin_s, first.die), (end_s, first.revive)],
+            "turns-cold": [(begin_s, first_engine.turn_cold)],
+            "dies": [(begin_s, first_engine.die), (end_s, first_engine.revive)],
             "data-centre": [
-                (begin_s, lambda: self._take_out(True)),
-                (end_s - 1.0, self._chill_closed),
-                (end_s, lambda: self._take_out(False)),
+                (begin_s, lambda: self._set_taken_out(True)),
+                (end_s - 1.0, self._turn_taken_out_cold),
+                (end_s, lambda: self._set_taken_out(False)),
             ],
         }
         for delay_s, action in faults[self.plan.scenario]:
-            at(delay_s, action)
+            run_after(delay_s, action)
 
-    def _take_out(self, taken_out: bool) -> None:
+    def _set_taken_out(self, taken_out: bool) -> None:
         self.configuration = self._configuration(taken_out)
 
-    def _chill_closed(self) -> None:
+    def _turn_taken_out_cold(self) -> None:
         for target in self.configuration.targets.values():
-            if self.closed(target):
+            if self.is_taken_out(target):
                 self.engines[target.name].turn_cold()
 
 
 class Attempt:
-    """One attempt of a request at a fake engine."""
+    """One attempt of a request at a simulated engine."""
 
     def __init__(
-        self, run: Run, arrival: Arrival, grant: Grant, arrived_s: float, measured: bool
+        self,
+        simulation: Simulation,
+        arrival: Arrival,
+        grant: Grant,
+        arrived_s: float,
+        measured: bool,
     ) -> None:
-        self.run_state = run
+        self.simulation = simulation
         self.grant = grant
         self.arrived_s = arrived_s
         self.arrival = arrival
         self.measured = measured
-        self.last_s: float | None = None
-        self.first_s = 0.0
+        self.last_token_s: float | None = None
+        self.first_token_s = 0.0
         self.delivered = 0
         self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.sequence = Sequence(
@@ -299,78 +307,90 @@
         )
 
     async def run(self) -> bool:
-        """Run it and return whether it was whole."""
-        state = self.run_state
-        engine = state.engines[self.grant.target.name]
-        state.figures.starts_in_closed += state.closed(self.grant.target)
-        state.note_cold_start(self.grant.target)
+        """Run the attempt; return whether the response was completed."""
+        simulation = self.simulation
+        engine = simulation.engines[self.grant.target.name]
+        simulation.results.starts_in_closed += simulation.is_taken_out(
+            self.grant.target
+        )
+        simulation.record_cold_start(self.grant.target)
         if not engine.submit(self.sequence):
             self.grant.finished(Outcome.NOT_RUN)
             return False
-        whole = await self.ended
-        self.grant.finished(Outcome.DONE if whole else Outcome.FAILED)
-        if whole:
-            state.good_tokens += self.delivered
-            if self.first_s - self.arrived_s <= DEADLINE_S:
-                state.timely_tokens += self.delivered
-        return whole
+        is_complete = await self.ended
+        self.grant.finished(Outcome.DONE if is_complete else Outcome.FAILED)
+        if is_complete:
+            simulation.completed_tokens += self.delivered
+            if self.first_token_s - self.arrived_s <= DEADLINE_S:
+                simulation.timely_tokens += self.delivered
+        return is_complete
 
     def on_token(self, now_s: float) -> None:
-        """Take a token."""
-        self.delivered += self.run_state.measures()
-        if self.last_s is None:
-            self.first_s = now_s
+        """Record a token that the engine generated at a time."""
+        self.delivered += self.simulation.is_measuring()
+        if self.last_token_s is None:
+            self.first_token_s = now_s
             if self.measured:
-                waited_ms = 1000 * (now_s - self.arrived_s)
-                entry = (self.arrival.priority, waited_ms)
-                self.run_state.first_tokens.append(entry)
+                time_to_first_token_ms = 1000 * (now_s - self.arrived_s)
+                entry = (self.arrival.priority, time_to_first_token_ms)
+                self.simulation.first_token_times.append(entry)
         else:
-            self.run_state.note_gap(now_s - self.last_s)
-        self.last_s = now_s
+            self.simulation.record_gap(now_s - self.last_token_s)
+        self.last_token_s = now_s
         self.grant.tokens(1)
 
 
-async def _simulate(plan: Plan) -> Figures:
-    run = Run(plan)
-    run.assume_warm()
-    for entry in run.entries:
+async def _simulate(plan: Plan) -> RunResults:
+    simulation = Simulation(plan)
+    simulation.assume_warm()
+    for entry in simulation.entries:
         await entry.start()
-    run.schedule()
-    arriving = asyncio.ensure_future(run.arrive())
-    await run.timer.advance(WARM_UP_S)
-    before = sum(engine.preemptions for engine in run.engines.values())
-    await run.timer.advance(plan.duration_s - WARM_UP_S)
-    figures = run.figures
-    figures.preemptions = (
-        sum(engine.preemptions for engine in run.engines.values()) - before
+    simulation.schedule_faults()
+    arrival_task = asyncio.ensure_future(simulation.serve_arrivals())
+    await simulation.timer.advance(WARM_UP_S)
+    preemptions_before = sum(
+        engine.preemptions for engine in simulation.engines.values()
     )
-    while not arriving.done() and run.elapsed_s() < plan.duration_s + DRAIN_S:
-        await run.timer.advance(5.0)
-    arriving.cancel()
-    await asyncio.gather(arriving, return_exceptions=True)
-    for entry in run.entries:
+    await simulation.timer.advance(plan.duration_s - WARM_UP_S)
+    results = simulation.results
+    results.preemptions = (
+        sum(engine.preemptions for engine in simulation.engines.values())
+        - preemptions_before
+    )
+    while (
+        not arrival_task.done()
+        and simulation.elapsed_s() < plan.duration_s + MAX_DRAIN_S
+    ):
+        await simulation.timer.advance(5.0)
+    arrival_task.cancel()
+    await asyncio.gather(arrival_task, return_exceptions=True)
+    for entry in simulation.entries:
         await entry.stop()
     measured_s = plan.duration_s - WARM_UP_S
-    figures.goodput_tokens_s = round(run.good_tokens / measured_s, 1)
-    figures.timely_goodput_tokens_s = round(run.timely_tokens / measured_s, 1)
-    per_entry = plan.entries * run.elapsed_s()
-    figures.credit_bytes_s = round(run.network.bytes / per_entry, 1)
-    figures.stall_s = round(figures.stall_s, 2)
-    figures.gap_ms = gap_quantiles(run.gaps)
-    figures.first_token_ms = quantiles([t for _, t in run.first_tokens])
-    checks = [t for priority, t in run.first_tokens if priority == 0]
-    figures.check_first_token_ms = quantiles(checks)
-    figures.cold_peak = max(engine.cold_peak for engine in run.engines.values())
-    steps = [step for engine in run.engines.values() for step in engine.step_log]
-    figures.prefilled_tokens = sum(step.prefilled_tokens for step in steps)
+    results.goodput_tokens_s = round(simulation.completed_tokens / measured_s, 1)
+    results.timely_goodput_tokens_s = round(simulation.timely_tokens / measured_s, 1)
+    entry_seconds = plan.entries * simulation.elapsed_s()
+    results.credit_bytes_s = round(simulation.network.bytes / entry_seconds, 1)
+    results.stall_s = round(results.stall_s, 2)
+    results.gap_ms = gap_quantiles(simulation.gap_histogram)
+    results.first_token_ms = quantiles([t for _, t in simulation.first_token_times])
+    check_times_ms = [
+        t for priority, t in simulation.first_token_times if priority == 0
+    ]
+    results.check_first_token_ms = quantiles(check_times_ms)
+    results.cold_peak = max(engine.cold_peak for engine in simulation.engines.values())
+    steps = [step for engine in simulation.engines.values() for step in engine.step_log]
+    results.prefilled_tokens = sum(step.prefilled_tokens for step in steps)
     decoded = sum(step.decoded for step in steps) or 1
-    long = [step for step in steps if step.prefilled_tokens >= LONG_STEP_TOKENS]
-    lone = [step for step in long if step.prompts == 1]
-    figures.long_step_share = round(sum(s.decoded for s in long) / decoded, 5)
-    figures.lone_prompt_share = round(sum(s.decoded for s in lone) / decoded, 5)
-    return figures
+    long_steps = [step for step in steps if step.prefilled_tokens >= LONG_STEP_TOKENS]
+    single_prompt_steps = [step for step in long_steps if step.prompts == 1]
+    results.long_step_share = round(sum(s.decoded for s in long_steps) / decoded, 5)
+    results.lone_prompt_share = round(
+        sum(s.decoded for s in single_prompt_steps) / decoded, 5
+    )
+    return results
 
 
-def run_plan(plan: Plan) -> Figures:
-    """Run one plan to its end."""
+def run_plan(plan: Plan) -> RunResults:
+    """Simulate one plan and return its results."""
     return asyncio.run(_simulate(plan))
