--- a/bench/configuration_fleet.py
+++ b/bench/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""Watching VMs over real HTTP on loopback, in one process."""
+"""Configuration watchers of many VMs in one process, over HTTP on loopback."""
 
 from __future__ import annotations
 
@@ -26,51 +26,51 @@
 from endivesill.server import HttpServer
 from endivesill.timer import SystemTimer
 
-__all__ = ["ByteCount", "WatcherFleet", "apply_message", "documents"]
+__all__ = ["ByteCounter", "WatcherFleet", "make_apply_message", "make_documents"]
 
-KEYS = KeyRing(["key-of-the-benches"])
+PEER_KEYS = KeyRing(["key-of-the-benches"])
 HOST = "127.0.0.1"
 PROPOSE_TIMEOUT_S = 10.0
 
 
-class ByteCount:
-    """Bytes that one listener has received and sent, HTTP headers included."""
+class ByteCounter:
+    """Counts the bytes received and sent by one server, with HTTP headers."""
 
     def __init__(self) -> None:
         self.bytes = 0
 
-    def watch(self, server: HttpServer) -> None:
-        """Count the bytes of a listener that has not started yet."""
-        count = self
+    def attach(self, server: HttpServer) -> None:
+        """Count the bytes of a server; call this before the server starts."""
+        counter = self
         config = server._server.config
-        base: Any = config.http
+        base_protocol: Any = config.http
 
-        class CountingProtocol(base):
+        class CountingProtocol(base_protocol):
             def connection_made(self, transport: Any) -> None:
-                super().connection_made(_CountingTransport(transport, count))
+                super().connection_made(_CountingTransport(transport, counter))
 
             def data_received(self, data: bytes) -> None:
-                count.bytes += len(data)
+                counter.bytes += len(data)
                 super().data_received(data)
 
         config.http = CountingProtocol
 
 
 class _CountingTransport:
-    def __init__(self, inner: Any, count: ByteCount) -> None:
-        self._inner = inner
-        self._count = count
+    def __init__(self, wrapped: Any, counter: ByteCounter) -> None:
+        self._wrapped = wrapped
+        self._counter = counter
 
     def write(self, data: bytes) -> None:
-        self._count.bytes += len(data)
-        self._inner.write(data)
+        self._counter.bytes += len(data)
+        self._wrapped.write(data)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._inner, name)
+        return getattr(self._wrapped, name)
 
 
-def documents(organisations: int, targets: int) -> dict[str, dict[str, Any]]:
-    """Return the documents of a configuration of a size."""
+def make_documents(organisations: int, targets: int) -> dict[str, dict[str, Any]]:
+    """Return the documents of a configuration, by item key."""
     items: dict[str, dict[str, Any]] = {
         "service/plan-llm": {"protocol": "engine"},
         **{f"data-centre/dc-{n}": {"region": f"r{n // 2}"} for n in range(8)},
@@ -88,10 +88,10 @@
     return items
 
 
-def apply_message(
+def make_apply_message(
     number: int, changed: dict[str, dict[str, Any]], base_revision: int
 ) -> Message:
-    """Return the message of an apply."""
+    """Return the message of an apply command; it removes nothing."""
     return {
         "number": str(number),
         "digest": f"digest-{number}",
@@ -105,17 +105,18 @@
 
 
 class WatcherFleet:
-    """Three control replicas and some watching VMs.
+    """Three control replicas and the configuration watchers of a fleet.
 
     Args:
-      size: how many VMs watch.
-      data_centres: over how many data centres they are spread.
-      folder: where the replicas' disks are.
+      size: number of VMs with a watcher.
+      data_centres: number of data centres that the VMs are spread over.
+      folder: folder for the data of the replicas.
 
     Attributes:
-      counts: the bytes at each watcher's listener.
-      roots: how many of them ask the replicas themselves.
-      in_force_s: when each watcher put which revision in force.
+      watcher_counters: byte counter of each watcher's server.
+      replica_counters: byte counter of each replica's server.
+      root_count: number of watchers that query the replicas directly.
+      in_force_s: for each watcher, when it put each revision in force.
     """
 
     def __init__(self, size: int, data_centres: int, folder: pathlib.Path) -> None:
@@ -126,12 +127,12 @@
         self._servers: list[HttpServer] = []
         self._transports: list[HttpPeerTransport] = []
         self._kernels: list[Kernel] = []
-        self._blocked: dict[HttpPeerTransport, Any] = {}
+        self._blocked_handlers: dict[HttpPeerTransport, Any] = {}
         self.replicas: list[ControlReplica] = []
         self.watchers: list[ConfigurationWatcher] = []
-        self.roots = 0
-        self.counts: list[ByteCount] = []
-        self.replica_counts: list[ByteCount] = []
+        self.root_count = 0
+        self.watcher_counters: list[ByteCounter] = []
+        self.replica_counters: list[ByteCounter] = []
         self.in_force_s: list[dict[int, float]] = []
 
     async def start(self) -> None:
@@ -139,14 +140,14 @@
         await self._start_replicas()
         transports = []
         for _ in range(self.size):
-            count = ByteCount()
-            self.counts.append(count)
-            transports.append(await self._listen(count))
+            counter = ByteCounter()
+            self.watcher_counters.append(counter)
+            transports.append(await self._start_server(counter))
         records = tuple(
             self._record(n, transport.address) for n, transport in enumerate(transports)
         )
         parents = [parent_of(record.name, records) for record in records]
-        self.roots = parents.count(None)
+        self.root_count = parents.count(None)
         for record, transport in zip(records, transports, strict=True):
             await self._start_watcher(record, transport, records)
 
@@ -158,9 +159,9 @@
     async def _start_replicas(self) -> None:
         transports = []
         for _ in range(3):
-            count = ByteCount()
-            self.replica_counts.append(count)
-            transports.append(await self._listen(count))
+            counter = ByteCounter()
+            self.replica_counters.append(counter)
+            transports.append(await self._start_server(counter))
         self.control_addresses = tuple(t.address for t in transports)
         for number, transport in enumerate(transports):
             disk = FileDisk(str(self._folder / f"control-{number}"))
@@ -173,10 +174,10 @@
         for replica in self.replicas:
             await replica.start()
 
-    async def _listen(self, count: ByteCount) -> HttpPeerTransport:
-        transport = HttpPeerTransport(f"{HOST}:0", KEYS)
+    async def _start_server(self, counter: ByteCounter) -> HttpPeerTransport:
+        transport = HttpPeerTransport(f"{HOST}:0", PEER_KEYS)
         server = HttpServer(transport.address, transport.application())
-        count.watch(server)
+        counter.attach(server)
         await server.start()
         transport.address = server.address
         self._servers.append(server)
@@ -197,49 +198,49 @@
             record.name,
             self.control_addresses,
         )
-        seen: dict[int, float] = {}
+        times_s: dict[int, float] = {}
 
-        def note(configuration: Configuration) -> None:
-            seen[configuration.revision] = self.timer.now_s()
+        def record_revision(configuration: Configuration) -> None:
+            times_s[configuration.revision] = self.timer.now_s()
 
-        watcher.subscribe(note)
-        self.in_force_s.append(seen)
+        watcher.subscribe(record_revision)
+        self.in_force_s.append(times_s)
         self.watchers.append(watcher)
         self._kernels.append(kernel)
         await watcher.start()
 
     async def apply(self, number: int, changed: dict[str, Any], base: int) -> Message:
-        """Commit a change through the first replica."""
-        message = apply_message(number, changed, base)
+        """Commit a change through the first replica; return the response."""
+        message = make_apply_message(number, changed, base)
         return await self.replicas[0].propose(APPLY, message, PROPOSE_TIMEOUT_S)
 
     def leases(self) -> list[bool]:
-        """Return which watchers hold a lease."""
+        """Return for each watcher whether it holds a lease."""
         return [watcher.holds_lease() for watcher in self.watchers]
 
-    def block_replicas(self, count: int) -> None:
-        """Let some replicas answer no more questions of the watchers."""
+    def block_probes(self, count: int) -> None:
+        """Make some replicas reject the probes of the watchers."""
         for transport in self._transports[:count]:
-            self._blocked[transport] = transport.handlers.pop(PROBE_PATH)
+            self._blocked_handlers[transport] = transport.handlers.pop(PROBE_PATH)
 
-    def unblock_replicas(self) -> None:
-        """Let all replicas answer again."""
-        for transport, handler in self._blocked.items():
+    def unblock_probes(self) -> None:
+        """Make all replicas answer probes again."""
+        for transport, handler in self._blocked_handlers.items():
             transport.handlers[PROBE_PATH] = handler
-        self._blocked.clear()
-
-    def time_in_force_s(self, revision: int) -> float | None:
-        """Return when the last VM had a revision, or None if one has not."""
-        times = []
-        for seen in self.in_force_s:
-            reached = [time_s for r, time_s in seen.items() if r >= revision]
-            if not reached:
+        self._blocked_handlers.clear()
+
+    def last_in_force_s(self, revision: int) -> float | None:
+        """Return when the last VM put a revision in force; None if one has not yet."""
+        first_times_s = []
+        for times_s in self.in_force_s:
+            reached_s = [time_s for r, time_s in times_s.items() if r >= revision]
+            if not reached_s:
                 return None
-            times.append(min(reached))
-        return max(times)
+            first_times_s.append(min(reached_s))
+        return max(first_times_s)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the watchers, then the replicas and all servers."""
         await asyncio.gather(*(watcher.stop() for watcher in self.watchers))
         for kernel in self._kernels:
             await kernel.stop()
