--- a/bench/control_clients.py
+++ b/bench/control_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the replicated state in a process of their own, for bench.control."""
+"""Control clients in their own process, for the control benchmark."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 
 
 async def run(addresses: tuple[str, ...], clients: int, duration_s: float) -> int:
-    """Commit for a time; return how many commits there were."""
+    """Commit from concurrent clients for `duration_s`; return the number of commits."""
     transport = HttpPeerTransport("127.0.0.1:1", KeyRing([BENCH_KEY]))
     client = RemoteControlClient(SystemTimer(), transport, addresses)
-    end = time.perf_counter() + duration_s
+    end_s = time.perf_counter() + duration_s
     commits = 0
 
-    async def work(number: int) -> None:
+    async def commit_repeatedly(number: int) -> None:
         nonlocal commits
         message = {"key": f"client-{number}", "value": "v" * 100}
-        while time.perf_counter() < end:
+        while time.perf_counter() < end_s:
             await client.propose("bench.put", message, 10.0)
             commits += 1
 
-    await asyncio.gather(*(work(number) for number in range(clients)))
+    await asyncio.gather(*(commit_repeatedly(number) for number in range(clients)))
     await transport.close()
     return commits
 
 
 def main(addresses: str, clients: int, duration_s: float, /) -> None:
-    """Run clients and print how often they committed.
+    """Run clients and print the number of their commits.
 
     Parameters
     ----------
     addresses
-        The replicas' addresses, with commas between them.
+        Addresses of the replicas, separated by commas.
     clients
-        How many clients there are.
+        Number of concurrent clients.
     duration_s
-        How long they run.
+        Run time in seconds.
     """
     print(uvloop.run(run(tuple(addresses.split(",")), clients, duration_s)))
 
--- a/bench/control_runner.py
+++ b/bench/control_runner.py
@@ -1,4 +1,4 @@
-"""One control replica as a process of its own, for bench.control."""
+"""One control replica in its own process, for the control benchmark."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 
 def main(listen: str, address: str, addresses: str, folder: str, /) -> None:
-    """Run a replica.
+    """Run a replica until the process is killed.
 
     Parameters
     ----------
     listen
         HOST:PORT to listen on.
     address
-        HOST:PORT under which the others reach it.
+        HOST:PORT at which the other replicas reach it.
     addresses
-        All replicas' addresses, with commas between them.
+        Addresses of all replicas, separated by commas.
     folder
-        The data folder.
+        Folder for the replica's data.
     """
     uvloop.run(run(listen, address, tuple(addresses.split(",")), folder))
 
--- a/bench/control_state.py
+++ b/bench/control_state.py
@@ -1,4 +1,4 @@
-"""The command and query that the bench of the replicated state runs."""
+"""The command and the query that the control benchmark runs."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @command("bench.put")
 def put(state: State, message: Message, context: CommandContext) -> Message:
-    """Write one key."""
+    """Set one key; return the log index of the command."""
     state.section("bench")[message["key"]] = message["value"]
     return {"index": context.index}
 
 
 @query("bench.get")
 def get(state: State, message: Message) -> Message:
-    """Read one key."""
+    """Return the value of one key, or None."""
     return {"value": state.section("bench").get(message["key"])}
