--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -1,4 +1,4 @@
-"""What membership costs a VM: processor time and bytes over loopback sockets."""
+"""Measures the processor time and traffic of membership over loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import attrs
 import uvloop
 
-from bench.membership_trials import spread
+from bench.membership_trials import vms_per_data_centre
 from bench.memory_fleet import vm_settings
 from endivesill.configuration import Configuration
 from endivesill.configuration.source import FixedConfiguration
@@ -26,25 +26,30 @@
 from endivesill.server import HttpServer
 from endivesill.timer import SystemTimer
 
-__all__ = ["Cost", "Exchange", "measure_exchanges", "measure_fleet"]
+__all__ = ["Exchange", "VmCost", "measure_exchanges", "measure_fleet"]
 
 KEY = "bench-key-0123456789"
-START_GAP_S = 0.1
+START_INTERVAL_S = 0.1
 SETTLE_S = 15.0
-MEASURED_S = 10.0
-EXCHANGES = 500
-BODY = {"probe": 12345, "from": "vm-123", "digest": 4294967295, "updates": ["x" * 70]}
+MEASUREMENT_S = 10.0
+EXCHANGE_COUNT = 500
+MESSAGE = {
+    "probe": 12345,
+    "from": "vm-123",
+    "digest": 4294967295,
+    "updates": ["x" * 70],
+}
 
 
 @attrs.frozen
-class Cost:
-    """What one VM spends a second in a quiet fleet.
+class VmCost:
+    """The mean cost of one VM per second, in a fleet without changes.
 
     Attributes:
       sent_bytes: bytes sent, with UDP and IP headers.
       sent_datagrams: datagrams sent.
       processor_s: processor time.
-      highest_sent_bytes: bytes that the busiest VM sent.
+      highest_sent_bytes: bytes sent by the VM that sends most.
     """
 
     sent_bytes: float
@@ -55,11 +60,11 @@
 
 @attrs.frozen
 class Exchange:
-    """One question and answer between two VMs, both ends together.
+    """The cost of one request and its response between two VMs.
 
     Attributes:
-      processor_us: processor time of both ends.
-      bytes: bytes on the wire both ways, without those of TCP.
+      processor_us: processor time of both VMs.
+      bytes: bytes sent in both directions, without TCP headers.
     """
 
     processor_us: float
@@ -67,21 +72,22 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return free UDP addresses, on a loopback host of this number of VMs only.
+    """Return free UDP addresses on a loopback host that depends on `count`.
 
-    Fleets of other sizes that start at the same time cannot take them meanwhile.
+    Fleets of other sizes, which start at the same time, therefore cannot take the
+    ports before they are bound again.
     """
     host = f"127.0.{count % 250 + 1}.1"
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for each in sockets:
-        each.bind((host, 0))
-    addresses = [f"{host}:{each.getsockname()[1]}" for each in sockets]
-    for each in sockets:
-        each.close()
+    for udp_socket in sockets:
+        udp_socket.bind((host, 0))
+    addresses = [f"{host}:{udp_socket.getsockname()[1]}" for udp_socket in sockets]
+    for udp_socket in sockets:
+        udp_socket.close()
     return addresses
 
 
-async def _measure_fleet(vms: int) -> Cost:
+async def _measure_fleet(vms: int) -> VmCost:
     timer = SystemTimer()
     network = MemoryNetwork(timer)
     configuration = FixedConfiguration(Configuration())
@@ -89,10 +95,14 @@
         UdpDatagramTransport(address, [KEY]) for address in free_addresses(vms)
     ]
     join = tuple(transport.address for transport in transports[:3])
-    places = [name for name, count in spread(vms).items() for _ in range(count)]
+    data_centres = [
+        name for name, count in vms_per_data_centre(vms).items() for _ in range(count)
+    ]
     members = []
-    for number, (place, transport) in enumerate(zip(places, transports, strict=True)):
-        vm = vm_settings(f"vm-{number}", place, "r1", transport.address, join)
+    for number, (data_centre, transport) in enumerate(
+        zip(data_centres, transports, strict=True)
+    ):
+        vm = vm_settings(f"vm-{number}", data_centre, "r1", transport.address, join)
         member = SwimMembership(
             Kernel(timer),
             vm,
@@ -104,94 +114,102 @@
         )
         members.append(member)
         await member.start()
-        await asyncio.sleep(START_GAP_S)
+        await asyncio.sleep(START_INTERVAL_S)
     await asyncio.sleep(SETTLE_S)
     before = [(t.sent_bytes, t.sent_datagrams) for t in transports]
-    started_s, started_cpu_s = time.monotonic(), time.process_time()
-    await asyncio.sleep(MEASURED_S)
-    passed_s = time.monotonic() - started_s
-    processor_s = time.process_time() - started_cpu_s
+    started_s, started_processor_s = time.monotonic(), time.process_time()
+    await asyncio.sleep(MEASUREMENT_S)
+    elapsed_s = time.monotonic() - started_s
+    processor_s = time.process_time() - started_processor_s
     sent = [
-        (t.sent_bytes - old[0], t.sent_datagrams - old[1])
-        for t, old in zip(transports, before, strict=True)
+        (t.sent_bytes - previous[0], t.sent_datagrams - previous[1])
+        for t, previous in zip(transports, before, strict=True)
     ]
     for member in members:
         await member.stop()
-    node_s = vms * passed_s
-    return Cost(
-        sum(pair[0] for pair in sent) / node_s,
-        sum(pair[1] for pair in sent) / node_s,
-        processor_s / node_s,
-        max(pair[0] for pair in sent) / passed_s,
+    vm_seconds = vms * elapsed_s
+    return VmCost(
+        sum(pair[0] for pair in sent) / vm_seconds,
+        sum(pair[1] for pair in sent) / vm_seconds,
+        processor_s / vm_seconds,
+        max(pair[0] for pair in sent) / elapsed_s,
     )
 
 
-def measure_fleet(vms: int) -> Cost:
-    """Run a quiet fleet on UDP over loopback and return what a VM spends."""
+def measure_fleet(vms: int) -> VmCost:
+    """Run a fleet without changes on UDP over loopback; return the cost of a VM."""
     return uvloop.run(_measure_fleet(vms))
 
 
 async def _measure_http() -> Exchange:
     transport = HttpPeerTransport("127.0.0.1:0", KeyRing([KEY]))
 
-    async def answer(message: Message) -> Message:
+    async def echo(message: Message) -> Message:
         return message
 
-    transport.handle("/membership/probe", answer)
+    transport.handle("/membership/probe", echo)
     server = HttpServer("127.0.0.1:0", transport.application())
     await server.start()
-    counted = 0
+    byte_count = 0
 
-    async def pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal counted
+    async def forward(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        nonlocal byte_count
         while data := await reader.read(65_536):
-            counted += len(data)
+            byte_count += len(data)
             writer.write(data)
         writer.close()
 
-    async def relay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def proxy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host, _, port = server.address.rpartition(":")
-        inner_reader, inner_writer = await asyncio.open_connection(host, int(port))
-        await asyncio.gather(pump(reader, inner_writer), pump(inner_reader, writer))
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            host, int(port)
+        )
+        await asyncio.gather(
+            forward(reader, upstream_writer), forward(upstream_reader, writer)
+        )
 
-    relay_server = await asyncio.start_server(relay, "127.0.0.1", 0)
-    relay_port = relay_server.sockets[0].getsockname()[1]
-    await transport.call(f"127.0.0.1:{relay_port}", "/membership/probe", BODY, 5.0)
+    proxy_server = await asyncio.start_server(proxy, "127.0.0.1", 0)
+    proxy_port = proxy_server.sockets[0].getsockname()[1]
+    await transport.call(f"127.0.0.1:{proxy_port}", "/membership/probe", MESSAGE, 5.0)
     path, address = "/membership/probe", server.address
     for _ in range(50):
-        await transport.call(address, path, BODY, 5.0)
+        await transport.call(address, path, MESSAGE, 5.0)
     started_s = time.process_time()
-    for _ in range(EXCHANGES):
-        await transport.call(address, path, BODY, 5.0)
-    spent_s = time.process_time() - started_s
+    for _ in range(EXCHANGE_COUNT):
+        await transport.call(address, path, MESSAGE, 5.0)
+    total_s = time.process_time() - started_s
     await transport.close()
-    relay_server.close()
+    proxy_server.close()
     await server.stop()
-    return Exchange(1e6 * spent_s / EXCHANGES, counted)
+    return Exchange(1e6 * total_s / EXCHANGE_COUNT, byte_count)
 
 
 async def _measure_udp() -> Exchange:
 
-    asker = UdpDatagramTransport("127.0.0.1:0", [KEY])
-    answerer = UdpDatagramTransport("127.0.0.1:0", [KEY])
-    arrived: asyncio.Queue[bytes] = asyncio.Queue()
-    await asker.open(lambda source, data: arrived.put_nowait(json.loads(data)))
-    await answerer.open(
-        lambda source, data: answerer.send(
+    client = UdpDatagramTransport("127.0.0.1:0", [KEY])
+    echo_server = UdpDatagramTransport("127.0.0.1:0", [KEY])
+    responses: asyncio.Queue[bytes] = asyncio.Queue()
+    await client.open(lambda source, data: responses.put_nowait(json.loads(data)))
+    await echo_server.open(
+        lambda source, data: echo_server.send(
             source, json.dumps(json.loads(data), separators=(",", ":")).encode()
         )
     )
     started_s = time.process_time()
-    for _ in range(EXCHANGES):
-        asker.send(answerer.address, json.dumps(BODY, separators=(",", ":")).encode())
-        await arrived.get()
-    spent_s = time.process_time() - started_s
-    asker.close()
-    answerer.close()
-    sent_bytes = asker.sent_bytes + answerer.sent_bytes
-    return Exchange(1e6 * spent_s / EXCHANGES, sent_bytes / EXCHANGES)
+    for _ in range(EXCHANGE_COUNT):
+        client.send(
+            echo_server.address, json.dumps(MESSAGE, separators=(",", ":")).encode()
+        )
+        await responses.get()
+    total_s = time.process_time() - started_s
+    client.close()
+    echo_server.close()
+    sent_bytes = client.sent_bytes + echo_server.sent_bytes
+    return Exchange(1e6 * total_s / EXCHANGE_COUNT, sent_bytes / EXCHANGE_COUNT)
 
 
 def measure_exchanges() -> tuple[Exchange, Exchange]:
-    """Return what an exchange costs over HTTP and over UDP."""
+    """Return the cost of an exchange over HTTP and over UDP."""
     return uvloop.run(_measure_http()), uvloop.run(_measure_udp())
--- a/bench/order_engines.py
+++ b/bench/order_engines.py
@@ -1,4 +1,4 @@
-"""Fake engines that count what they run, for tests and benches of orders."""
+"""Fake engines that record the orders they execute, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 
 @attrs.define
 class OrderEngine:
-    """One engine's state and all that it ran.
+    """The state of one engine and the orders that it has executed.
 
     Attributes:
-      checks_fencing: whether it refuses orders with an old token.
-      report: its state.
-      runs: order id and token of each order that it ran.
-      highest_token: the highest token that it has seen.
-      old_token_runs: orders that it ran with a token under the highest.
-      work_s: how long it takes before its state shows an order.
+      checks_fencing: whether it refuses orders with a stale fencing token.
+      report: its current load report.
+      runs: order id and fencing token of each execution.
+      highest_token: the highest fencing token that it has received.
+      stale_token_runs: number of executions with a token below the highest.
+      apply_delay_s: time from an execution until the report shows its effect.
     """
 
     checks_fencing: bool
     report: LoadReport
     runs: list[tuple[str, int]] = attrs.Factory(list)
     highest_token: int = 0
-    old_token_runs: int = 0
-    work_s: float = 0.0
+    stale_token_runs: int = 0
+    apply_delay_s: float = 0.0
 
 
 class OrderEngines:
-    """Engines that are reached without a network.
+    """Sends orders to fake engines without a network.
 
     Args:
       timer: the timer service.
-      configuration: whose targets there are.
+      configuration: each of its targets gets an engine.
 
     Attributes:
       engines: the engines by target name.
-      delay_s: how long an order takes to arrive.
-      lose_answers: whether answers get lost.
-      lose_orders: whether orders get lost.
+      delay_s: time until a request reaches its engine.
+      lose_responses: whether responses to orders are lost.
+      lose_orders: whether orders are lost.
     """
 
     def __init__(self, timer: TimerService, configuration: Configuration) -> None:
         self._timer = timer
         self.delay_s = 0.0
-        self.lose_answers = False
+        self.lose_responses = False
         self.lose_orders = False
         self.engines = {
             name: OrderEngine(target.checks_fencing, LoadReport("boot-1", model="m0"))
@@ -61,28 +61,35 @@
         }
 
     async def order(self, target: Target, order: Order) -> LoadReport:
-        """Run an order, however often it comes.
+        """Execute an order; a duplicate is executed again.
 
-        It arrives after the delay, also when the caller has given up meanwhile.
+        The order arrives after `delay_s` even if the sender has been cancelled
+        meanwhile.
+
+        Raises:
+          TargetError: the order or its response was lost.
+          TargetRefusedError: the fencing token is stale.
         """
         engine = self.engines[target.name]
-        lost, answer_lost = self.lose_orders, self.lose_answers
-        answer: asyncio.Future[LoadReport] = asyncio.get_running_loop().create_future()
+        is_order_lost, is_response_lost = self.lose_orders, self.lose_responses
+        response: asyncio.Future[LoadReport] = (
+            asyncio.get_running_loop().create_future()
+        )
 
         def arrive() -> None:
             error: errors.TargetError | None = errors.TargetError("no answer")
-            if not lost:
+            if not is_order_lost:
                 refusal = self._run(engine, order)
-                error = error if answer_lost else refusal
-            if answer.done():
+                error = error if is_response_lost else refusal
+            if response.done():
                 return
             if error is None:
-                answer.set_result(engine.report)
+                response.set_result(engine.report)
             else:
-                answer.set_exception(error)
+                response.set_exception(error)
 
         self._timer.call_after(self.delay_s, arrive)
-        return await answer
+        return await response
 
     def _run(
         self, engine: OrderEngine, order: Order
@@ -90,48 +97,51 @@
         if order.fencing_token < engine.highest_token:
             if engine.checks_fencing:
                 return errors.TargetRefusedError("old fencing token")
-            engine.old_token_runs += 1
+            engine.stale_token_runs += 1
         engine.highest_token = max(engine.highest_token, order.fencing_token)
         engine.runs.append((order.order_id, order.fencing_token))
-        self._timer.call_after(engine.work_s, lambda: _apply(engine, order))
-        if not engine.work_s:
+        self._timer.call_after(engine.apply_delay_s, lambda: _apply(engine, order))
+        if not engine.apply_delay_s:
             _apply(engine, order)
         return None
 
     async def load(self, target: Target) -> LoadReport:
-        """Return an engine's state."""
+        """Return the current load report of an engine after `delay_s`."""
         await self._timer.sleep(self.delay_s)
         return self.engines[target.name].report
 
     def runs(self) -> list[tuple[str, int]]:
-        """Return all orders that ran anywhere."""
+        """Return order id and fencing token of all executions at all engines."""
         return [run for engine in self.engines.values() for run in engine.runs]
 
-    def run_twice(self) -> int:
-        """Return how many orders ran more than once."""
-        ids = [order_id for order_id, _ in self.runs()]
-        return len(ids) - len(set(ids))
+    def duplicate_runs(self) -> int:
+        """Return the number of executions beyond the first of each order."""
+        order_ids = [order_id for order_id, _ in self.runs()]
+        return len(order_ids) - len(set(order_ids))
 
-    def old_token_runs(self) -> int:
-        """Return how many orders ran with an old token."""
-        return sum(engine.old_token_runs for engine in self.engines.values())
+    def stale_token_runs(self) -> int:
+        """Return the number of executions with a stale fencing token."""
+        return sum(engine.stale_token_runs for engine in self.engines.values())
 
 
 def _apply(engine: OrderEngine, order: Order) -> None:
-    named = f"{order.subject}@{order.version}" if order.version else order.subject
+    full_name = f"{order.subject}@{order.version}" if order.version else order.subject
     if order.kind == OrderKind.LOAD_MODEL.value:
-        engine.report = attrs.evolve(engine.report, model=named)
+        engine.report = attrs.evolve(engine.report, model=full_name)
     elif order.kind == OrderKind.CHANGE_ROLE.value:
         engine.report = attrs.evolve(engine.report, role=order.subject)
     else:
-        adapters = (*engine.report.adapters, named)
+        adapters = (*engine.report.adapters, full_name)
         engine.report = attrs.evolve(engine.report, adapters=adapters)
 
 
 def orders_configuration(
     *, fencing: int = 2, plain: int = 2, loads_per_minute: float = 6.0
 ) -> Configuration:
-    """Return one data centre with engines of both kinds."""
+    """Return a configuration of engines that check fencing tokens and `plain` ones.
+
+    Plain engines execute orders with stale tokens, too.
+    """
     targets = {}
     for kind, count in (("fencing", fencing), ("plain", plain)):
         for number in range(count):
--- a/bench/order_trials.py
+++ b/bench/order_trials.py
@@ -1,4 +1,4 @@
-"""Random histories of orderers that die, stall and race; counts of what ran."""
+"""Random histories of competing orderers that are killed, pause and lose messages."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 )
 from endivesill.timer import ManualTimer
 
-__all__ = ["OrderCounts", "run_orders"]
+__all__ = ["OrderCounts", "run_order_histories"]
 
 LEASE_S = 10.0
-CONTENDERS = 3
-STEPS = 120
+CANDIDATE_COUNT = 3
+STEP_COUNT = 120
 ROLES = ("prefill", "decode", "mixed")
 
 
 @attrs.define
 class OrderCounts:
-    """What became of the orders of all histories.
+    """The counts of orders over all histories.
 
     Attributes:
-      given: distinct orders that were asked for.
-      ran: orders that ran at an engine.
-      twice: orders that ran more than once.
-      old_token: orders that ran with a token under one that the engine had seen.
-      take_overs: how often the orderer changed.
+      issued: distinct orders that were requested.
+      executed: executions at engines.
+      duplicates: executions beyond the first of each order.
+      stale_token: executions with a fencing token below one that the engine had seen.
+      takeovers: acquisitions of the orderer lease.
     """
 
-    given: int = 0
-    ran: int = 0
-    twice: int = 0
-    old_token: int = 0
-    take_overs: int = 0
+    issued: int = 0
+    executed: int = 0
+    duplicates: int = 0
+    stale_token: int = 0
+    takeovers: int = 0
 
 
-class _Contender:
-    """A process that wants to be the orderer, until it is killed."""
+class _Candidate:
+    """A process that competes for the orderer lease until it is killed."""
 
     def __init__(self, history: _History, number: int) -> None:
         self.history = history
@@ -61,25 +61,25 @@
             history.engines,
             OrderSettings(lease_s=LEASE_S, read_back_s=5.0),
         )
-        self.tasks = {asyncio.ensure_future(self.compete())}
+        self.tasks = {asyncio.ensure_future(self.compete_for_lease())}
 
-    async def compete(self) -> None:
+    async def compete_for_lease(self) -> None:
         while True:
             try:
                 if await self.lease.acquire():
-                    self.history.counts.take_overs += 1
-                    keeping = asyncio.ensure_future(self.lease.renew_until_lost())
-                    self.tasks.add(keeping)
+                    self.history.counts.takeovers += 1
+                    renewal = asyncio.ensure_future(self.lease.renew_until_lost())
+                    self.tasks.add(renewal)
                     await self.orderer.resolve_pending()
-                    await keeping
+                    await renewal
             except errors.EndivesillError:
                 pass
             await self.history.timer.sleep(1.0)
 
-    def give(self, request: OrderRequest) -> None:
-        self.tasks.add(asyncio.ensure_future(self.try_to_give(request)))
+    def start_issue(self, request: OrderRequest) -> None:
+        self.tasks.add(asyncio.ensure_future(self._issue(request)))
 
-    async def try_to_give(self, request: OrderRequest) -> None:
+    async def _issue(self, request: OrderRequest) -> None:
         try:
             await self.orderer.issue(request)
         except errors.EndivesillError:
@@ -102,8 +102,8 @@
         self.engines = OrderEngines(self.timer, self.configuration)
         self.requests: list[OrderRequest] = []
 
-    def request(self) -> OrderRequest:
-        """Return a new order, or one that was given before."""
+    def make_request(self) -> OrderRequest:
+        """Return a new request, or an earlier one again."""
         if self.requests and self.rng.random() < 0.4:
             return self.rng.choice(self.requests)
         target = self.rng.choice(sorted(self.configuration.targets))
@@ -116,39 +116,39 @@
         return request
 
     async def run(self) -> None:
-        contenders = [_Contender(self, number) for number in range(CONTENDERS)]
-        for _ in range(STEPS):
-            request = self.request()
-            for contender in self.rng.sample(contenders, self.rng.randint(1, 2)):
-                contender.give(request)
+        candidates = [_Candidate(self, number) for number in range(CANDIDATE_COUNT)]
+        for _ in range(STEP_COUNT):
+            request = self.make_request()
+            for candidate in self.rng.sample(candidates, self.rng.randint(1, 2)):
+                candidate.start_issue(request)
             self.engines.delay_s = self.rng.choice((0.0, 0.01, 0.5, 1.5, 2.8))
-            self.engines.lose_answers = self.rng.random() < 0.2
+            self.engines.lose_responses = self.rng.random() < 0.2
             self.engines.lose_orders = self.rng.random() < 0.1
             self.control.failure = None
             if self.rng.random() < 0.05:
                 self.control.failure = errors.UnavailableError("no quorum")
             if self.rng.random() < 0.08:
-                number = self.rng.randrange(CONTENDERS)
-                await contenders[number].kill()
-                contenders[number] = _Contender(self, number)
+                number = self.rng.randrange(CANDIDATE_COUNT)
+                await candidates[number].kill()
+                candidates[number] = _Candidate(self, number)
             if self.rng.random() < 0.05:
                 self.timer.jump(self.rng.uniform(1.0, 2 * LEASE_S))
             await self.timer.advance(self.rng.uniform(0.1, 4.0))
-        for contender in contenders:
-            await contender.kill()
-        self.counts.given += len(self.requests)
-        self.counts.ran += len(self.engines.runs())
-        self.counts.twice += self.engines.run_twice()
-        self.counts.old_token += self.engines.old_token_runs()
+        for candidate in candidates:
+            await candidate.kill()
+        self.counts.issued += len(self.requests)
+        self.counts.executed += len(self.engines.runs())
+        self.counts.duplicates += self.engines.duplicate_runs()
+        self.counts.stale_token += self.engines.stale_token_runs()
 
 
-def run_orders(histories: int, seed: int) -> OrderCounts:
-    """Run random histories and count what ran."""
+def run_order_histories(histories: int, seed: int) -> OrderCounts:
+    """Run random histories and return the counts of their orders."""
     counts = OrderCounts()
 
-    async def run() -> None:
+    async def run_all() -> None:
         for number in range(histories):
             await _History(seed * 10_000 + number, counts).run()
 
-    asyncio.run(run())
+    asyncio.run(run_all())
     return counts
--- a/tests/test_orders_orderer.py
+++ b/tests/test_orders_orderer.py
@@ -36,8 +36,8 @@
         self.one = await self.orderer("one")
 
     async def asyncTearDown(self):
-        self.assertEqual(0, self.engines.run_twice())
-        self.assertEqual(0, self.engines.old_token_runs())
+        self.assertEqual(0, self.engines.duplicate_runs())
+        self.assertEqual(0, self.engines.stale_token_runs())
 
     async def orderer(self, holder):
         timer = self.timer
@@ -98,8 +98,8 @@
             await self.finish(self.one, load_model("o1", "plain-1"))
 
     async def test_outcome_after_a_lost_response_is_read_from_reports(self):
-        self.engines.lose_answers = True
-        self.engines.engines["plain-0"].work_s = 5.0
+        self.engines.lose_responses = True
+        self.engines.engines["plain-0"].apply_delay_s = 5.0
         record = await self.finish(self.one, load_model("o1", "plain-0"))
         self.assertIs(OrderState.DONE, record.state)
 
@@ -136,7 +136,7 @@
 class TakeoverTest(OrdererTestCase):
     async def test_orderer_fails_between_sending_and_recording_the_outcome(self):
         for target in ("fencing-0", "plain-0"):
-            self.engines.engines[target].work_s = 1.5
+            self.engines.engines[target].apply_delay_s = 1.5
             task = self.start(self.one, change_role(f"o-{target}", target))
             await self.timer.advance(0.1)
             task.cancel()
