--- a/bench/credits.py
+++ b/bench/credits.py
@@ -1,8 +1,8 @@
-"""What credits cost between an entry and a home, over the targets they share.
+"""Benchmark of the credit traffic between an entry and an owner of targets.
 
-The real lender and wallet over the memory network on the manual timer: bytes
-are those of the JSON bodies, messages are counted one way. Each HTTP exchange
-adds its headers, which `bench.membership` measures.
+The real credit server and client exchange messages over the memory network on the
+manual timer. Bytes are those of the JSON bodies; a request and its response count
+as two messages. Each HTTP exchange adds headers, which `bench.membership` measures.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 __all__ = ["main"]
 
-TARGETS = (1, 4, 16, 64)
+TARGET_COUNTS = (1, 4, 16, 64)
 DURATION_S = 120.0
-STEP_S = 0.5
+ADVANCE_STEP_S = 0.5
 SLOTS_IN_USE = 4
 
 
 def make_configuration(count: int) -> Configuration:
-    """Return a configuration with engines of one service."""
+    """Return a configuration with `count` engines of one service."""
     targets = (
         Target(
             f"e{n}",
@@ -53,55 +53,57 @@
     )
 
 
-async def measure(count: int) -> tuple[float, float, float]:
-    """Run one home and one borrower.
+async def measure_exchange(count: int) -> tuple[float, float, float]:
+    """Run an owner and an entry that uses all of its targets.
 
     Args:
-      count: targets that both share.
+      count: number of targets.
 
     Returns:
-      Bytes and messages a second of both together, and their processor time as
-      a share of a core.
+      Bytes per second and messages per second of both VMs together, and the cores
+      that they use.
     """
     timer = ManualTimer()
     network = MemoryNetwork(timer)
     source = FixedConfiguration(make_configuration(count))
     records = tuple(VmRecord(name, f"{name}-1", name, "a", "r") for name in "hb")
-    homes = dict.fromkeys(source.current().targets, "h")
-    wallets = []
+    owners = dict.fromkeys(source.current().targets, "h")
+    credit_clients = []
     for name in "hb":
         peers = network.transport(name)
-        membership = StaticMembership(name, records, homes)
-        lender = CreditServer(
+        membership = StaticMembership(name, records, owners)
+        credit_server = CreditServer(
             timer, source.current, f"{name}-1", membership, peers, source
         )
-        wallet = CreditClient(
-            timer, source.current, f"{name}-1", lender, membership, peers
+        credit_client = CreditClient(
+            timer, source.current, f"{name}-1", credit_server, membership, peers
         )
-        wallet.usage_of = lambda target: Usage(slots=SLOTS_IN_USE, headroom_slots=2)
-        wallets.append(wallet)
-        await wallet.start()
+        credit_client.usage_of = lambda target: Usage(
+            slots=SLOTS_IN_USE, headroom_slots=2
+        )
+        credit_clients.append(credit_client)
+        await credit_client.start()
         if name == "h":
-            home = lender
-    borrower = wallets[1]
+            owner_server = credit_server
+    entry_client = credit_clients[1]
     targets = list(source.current().targets.values())
     started_s = time.process_time()
-    for _ in range(int(DURATION_S / STEP_S)):
+    for _ in range(int(DURATION_S / ADVANCE_STEP_S)):
         for target in targets:
-            borrower.note_demand(target)
+            entry_client.note_demand(target)
             report = LoadReport("boot", running=SLOTS_IN_USE, memory_tokens=100_000)
-            home.observe_load(target, report)
-        await timer.advance(STEP_S)
-    share = (time.process_time() - started_s) / DURATION_S
-    for wallet in wallets:
-        await wallet.stop()
-    return network.bytes / DURATION_S, network.messages / DURATION_S, share
+            owner_server.observe_load(target, report)
+        await timer.advance(ADVANCE_STEP_S)
+    cores = (time.process_time() - started_s) / DURATION_S
+    for credit_client in credit_clients:
+        await credit_client.stop()
+    return network.bytes / DURATION_S, network.messages / DURATION_S, cores
 
 
 async def run() -> Report:
-    """Measure all sizes."""
+    """Measure all target counts and return the report."""
     report = Report("credits")
-    rows = [(count, await measure(count)) for count in TARGETS]
+    rows = [(count, await measure_exchange(count)) for count in TARGET_COUNTS]
     for index, name, unit in (
         (0, "credit bytes of an entry and a home", "B/s"),
         (1, "credit messages of an entry and a home", "1/s"),
@@ -109,12 +111,12 @@
     ):
         points = [(float(count), row[index]) for count, row in rows]
         report.slope(name, "targets shared", unit, points)
-        report.add(f"{name}, {TARGETS[1]} targets", points[1][1], unit)
+        report.add(f"{name}, {TARGET_COUNTS[1]} targets", points[1][1], unit)
     return report
 
 
 def main() -> None:
-    """Print the figures."""
+    """Run the benchmark and print the report."""
     asyncio.run(run()).print()
 
 
--- a/bench/entry_servers.py
+++ b/bench/entry_servers.py
@@ -1,7 +1,7 @@
-"""The servers of the bench of the entry, each run as its own process.
+"""The servers of the entry benchmark, each run in its own process.
 
-`floor` is a bare pass-through proxy of the same libraries: uvicorn, starlette's
-StreamingResponse and aiohttp's iter_any.
+`floor` is a minimal pass-through proxy built on the same libraries as the entry:
+uvicorn, starlette's StreamingResponse and aiohttp's iter_any.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 async def serve_floor(address: str, source: str) -> None:
-    """Serve the bare proxy until the process is stopped."""
+    """Run the minimal proxy until the process is stopped."""
     connector = aiohttp.TCPConnector(limit=0, limit_per_host=0)
     session = aiohttp.ClientSession(
         connector=connector, auto_decompress=False, read_bufsize=READ_BUFFER_BYTES
@@ -62,7 +62,7 @@
 
 
 async def serve_entry(address: str, source: str) -> None:
-    """Serve an entry until the process is stopped."""
+    """Run an entry until the process is stopped."""
     eliot.to_file(open(os.devnull, "w", encoding="utf-8"))  # noqa: ASYNC230, SIM115
     documents: dict[str, dict[str, Any]] = {
         "data-centre/a": {"region": "r"},
@@ -94,7 +94,7 @@
 
 
 def main(kind: str, address: str, source: str = "") -> None:
-    """Run one server until it is stopped."""
+    """Run a server until it is stopped: KIND is `source`, `floor` or `entry`."""
     if kind == "source":
         uvloop.run(serve_source(address))
     elif kind == "floor":
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -1,4 +1,4 @@
-"""Small SVG plots of the benches' slopes and figures."""
+"""Plain SVG line plots of benchmark results."""
 
 from __future__ import annotations
 
@@ -18,65 +18,71 @@
 
 @attrs.frozen
 class Line:
-    """One line of a plot: its label and its points."""
+    """One line of a plot, with its label in the legend."""
 
     label: str
     points: Sequence[tuple[float, float]]
 
 
 def line_plot(title: str, x_label: str, y_label: str, lines: Sequence[Line]) -> str:
-    """Return an SVG document with lines over linear axes from zero."""
+    """Return an SVG document of lines on linear axes that start at zero."""
     x_end = max((x for line in lines for x, _ in line.points), default=1.0) or 1.0
     y_end = max((y for line in lines for _, y in line.points), default=1.0) or 1.0
     parts = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{HEIGHT}" '
         f'font-family="sans-serif" font-size="12">',
         f'<rect width="{WIDTH}" height="{HEIGHT}" fill="white"/>',
-        _text(WIDTH / 2, 20, title, "middle"),
-        _text(WIDTH / 2, HEIGHT - 12, x_label, "middle"),
-        _text(8, 40, y_label, "start"),
-        *_axes(x_end, y_end),
+        _text_element(WIDTH / 2, 20, title, "middle"),
+        _text_element(WIDTH / 2, HEIGHT - 12, x_label, "middle"),
+        _text_element(8, 40, y_label, "start"),
+        *_axis_elements(x_end, y_end),
     ]
     for number, line in enumerate(lines):
-        parts.extend(_line(number, line, x_end, y_end))
+        parts.extend(_line_elements(number, line, x_end, y_end))
     parts.append("</svg>")
     return "\n".join(parts) + "\n"
 
 
-def _x(value: float, end: float) -> float:
+def _x_px(value: float, end: float) -> float:
     return MARGIN + value / end * (WIDTH - 2 * MARGIN)
 
 
-def _y(value: float, end: float) -> float:
+def _y_px(value: float, end: float) -> float:
     return HEIGHT - MARGIN - value / end * (HEIGHT - 2 * MARGIN)
 
 
-def _text(x: float, y: float, text: str, anchor: str) -> str:
-    shown = html.escape(text)
-    return f'<text x="{x:.1f}" y="{y:.1f}" text-anchor="{anchor}">{shown}</text>'
+def _text_element(x: float, y: float, text: str, anchor: str) -> str:
+    escaped = html.escape(text)
+    return f'<text x="{x:.1f}" y="{y:.1f}" text-anchor="{anchor}">{escaped}</text>'
 
 
-def _axes(x_end: float, y_end: float) -> list[str]:
-    left, bottom = _x(0, x_end), _y(0, y_end)
+def _axis_elements(x_end: float, y_end: float) -> list[str]:
+    left, bottom = _x_px(0, x_end), _y_px(0, y_end)
     parts = [
-        f'<path d="M{left} {_y(y_end, y_end)} V{bottom} H{_x(x_end, x_end)}" '
+        f'<path d="M{left} {_y_px(y_end, y_end)} V{bottom} H{_x_px(x_end, x_end)}" '
         'stroke="black" fill="none"/>'
     ]
     for tick in range(TICKS + 1):
         x_value = x_end * tick / TICKS
         y_value = y_end * tick / TICKS
-        parts.append(_text(_x(x_value, x_end), bottom + 16, f"{x_value:.3g}", "middle"))
-        parts.append(_text(left - 6, _y(y_value, y_end) + 4, f"{y_value:.3g}", "end"))
+        parts.append(
+            _text_element(
+                _x_px(x_value, x_end), bottom + 16, f"{x_value:.3g}", "middle"
+            )
+        )
+        parts.append(
+            _text_element(left - 6, _y_px(y_value, y_end) + 4, f"{y_value:.3g}", "end")
+        )
     return parts
 
 
-def _line(number: int, line: Line, x_end: float, y_end: float) -> list[str]:
+def _line_elements(number: int, line: Line, x_end: float, y_end: float) -> list[str]:
     colour = COLOURS[number % len(COLOURS)]
-    places = [(_x(x, x_end), _y(y, y_end)) for x, y in line.points]
-    path = " ".join(f"{x:.1f},{y:.1f}" for x, y in places)
+    pixels = [(_x_px(x, x_end), _y_px(y, y_end)) for x, y in line.points]
+    path = " ".join(f"{x:.1f},{y:.1f}" for x, y in pixels)
     parts = [f'<polyline points="{path}" fill="none" stroke="{colour}"/>']
     parts += [
-        f'<circle cx="{x:.1f}" cy="{y:.1f}" r="3" fill="{colour}"/>' for x, y in places
+        f'<circle cx="{x:.1f}" cy="{y:.1f}" r="3" fill="{colour}"/>' for x, y in pixels
     ]
     label_y = 40 + 16 * number
     parts.append(
--- a/bench/ports.py
+++ b/bench/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of loopback for processes that are stopped and started again."""
+"""Free loopback ports for processes that are restarted on the same port."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports of loopback that were free a moment ago.
+    """Return loopback ports that are currently free for TCP and UDP.
 
-    They lie under the range that systems give to outgoing connections, which
-    could otherwise take a port while its process is down.
+    The ports are below the ephemeral range, from which an outgoing connection could
+    take a port while the process that uses it is down.
     """
     ports: list[int] = []
     for port in random.sample(PORT_RANGE, len(PORT_RANGE)):
@@ -27,9 +27,9 @@
 
 def _is_free(port: int) -> bool:
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(socket.AF_INET, kind) as one:
+        with socket.socket(socket.AF_INET, kind) as probe_socket:
             try:
-                one.bind(("127.0.0.1", port))
+                probe_socket.bind(("127.0.0.1", port))
             except OSError:
                 return False
     return True
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Tests that the page on promises names what exists."""
+"""Tests that docs/PROMISES.md is complete and names existing tests and modules."""
 
 import pathlib
 import re
@@ -7,7 +7,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs" / "PROMISES.md"
 
-RULES = {
+RULE_CODES = {
     "BUDGET",
     "CONFIG",
     "DENIED",
@@ -26,7 +26,7 @@
 }
 
 
-def rows_of(text):
+def table_rows(text):
     return [line for line in text.splitlines() if line.startswith("| ")]
 
 
@@ -35,20 +35,23 @@
         self.page = PAGE.read_text(encoding="utf-8")
 
     def test_every_promise_has_a_row(self):
-        promises, _, rules = self.page.partition("## The platform's rules")
-        self.assertEqual(9, len(rows_of(promises)) - 2)
+        promise_section, _, rule_section = self.page.partition(
+            "## The platform's rules"
+        )
+        self.assertEqual(9, len(table_rows(promise_section)) - 2)
         self.assertEqual(
-            RULES, {row.split("|")[1].strip() for row in rows_of(rules)[2:]}
+            RULE_CODES,
+            {row.split("|")[1].strip() for row in table_rows(rule_section)[2:]},
         )
 
     def test_every_named_test_exists(self):
         names = re.findall(r"`(test_\w+)\.(\w+)\.(test_\w+)`", self.page)
         self.assertGreater(len(names), 20)
-        for module, case, method in names:
+        for module, test_class, method in names:
             path = ROOT / "tests" / f"{module}.py"
             text = path.read_text(encoding="utf-8")
-            name = f"{module}.{case}.{method}"
-            self.assertIn(f"\nclass {case}(", text, name)
+            name = f"{module}.{test_class}.{method}"
+            self.assertIn(f"\nclass {test_class}(", text, name)
             self.assertIn(f"def {method}(", text, name)
 
     def test_every_named_module_exists(self):
