--- a/bench/membership_trials.py
+++ b/bench/membership_trials.py
@@ -142,7 +142,7 @@
                     else None
                 )
             )
-        reporter.leaving_targets.report(name, "boot", 30.0)
+        reporter.leaving_targets.apply_load_report(name, "boot", 30.0)
         await self.fleet.timer.advance(SETTLE_S)
         if len(times_s) == len(self.fleet.members):
             self.results.leaving_times_s.append(max(times_s) - started_s)
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -9,7 +9,7 @@
 from endivesill.configuration.control_replica import ControlReplicaView
 from endivesill.configuration.model import Target
 from endivesill.configuration.named import NamedConfigurationSource
-from endivesill.configuration.replica import ReplicaPort
+from endivesill.configuration.replica import ReplicaEndpoint
 from endivesill.configuration.store import ConfigurationFile
 from endivesill.configuration.watcher import ConfigurationWatcher
 from endivesill.control import ControlClient
@@ -64,7 +64,9 @@
 
     def observe_load(self, target: Target, report: LoadReport) -> None:
         """Take a load report."""
-        self._leaving.report(target.name, report.boot_id, report.leaving_in_s)
+        self._leaving.apply_load_report(
+            target.name, report.boot_id, report.leaving_in_s
+        )
         self._lender.observe_load(target, report)
 
     def observe_silence(self, target: Target) -> None:
@@ -187,7 +189,7 @@
             settings.section(ControlSettings),
         )
         view = ControlReplicaView(replica)
-        port = ReplicaPort(kernel.timer, transport, view)
+        port = ReplicaEndpoint(kernel.timer, transport, view)
         control = replica
         kernel.add("control", control)
         kernel.add("configuration-port", port)
