--- a/bench/all.py
+++ b/bench/all.py
@@ -72,7 +72,10 @@
 
 
 def write_load_plots(document: dict[str, Any], folder: pathlib.Path) -> None:
-    """Plot token gaps, stall time and preemptions over load, all policies together."""
+    """Plot token gaps, stall time and preemptions over load, one SVG per quantity.
+
+    A plot has one line per policy and number of VMs.
+    """
     plots: dict[str, dict[str, list[tuple[float, float]]]] = {}
     units: dict[str, str] = {}
     for result in document["results"]:
@@ -83,14 +86,14 @@
         points = plots.setdefault(match["figure"], {}).setdefault(line, [])
         points.append((float(match["load"]), float(result["value"])))
         units[match["figure"]] = result["unit"]
-    for figure, lines in plots.items():
+    for quantity, lines in plots.items():
         svg = line_plot(
-            f"{figure} by load",
+            f"{quantity} by load",
             "load, as a share of capacity",
-            units[figure],
+            units[quantity],
             [Line(label, points) for label, points in lines.items()],
         )
-        path = folder / f"routing-by-load-{figure.replace(' ', '-')}.svg"
+        path = folder / f"routing-by-load-{quantity.replace(' ', '-')}.svg"
         path.write_text(svg, encoding="utf-8")
 
 
--- a/bench/capacity_runs.py
+++ b/bench/capacity_runs.py
@@ -152,13 +152,13 @@
                 return min(slope["points"])[1]
         raise KeyError(name)
 
-    def result(self, bench: str, name: str) -> float:
-        """Return the value of the first result whose name has a prefix.
+    def result(self, bench: str, name_prefix: str) -> float:
+        """Return the value of the first result whose name starts with a prefix.
 
         Raises:
           KeyError: there is no such result.
         """
         for result in self._reports[bench]["results"]:
-            if result["name"].startswith(name):
+            if result["name"].startswith(name_prefix):
                 return result["value"]
-        raise KeyError(f"benchmark {bench} has no result {name!r}")
+        raise KeyError(f"benchmark {bench} has no result {name_prefix!r}")
--- a/bench/control.py
+++ b/bench/control.py
@@ -348,10 +348,10 @@
     report.slope("time to write a snapshot's text", "keys", "ms", snapshot_points)
 
 
-def quantile(values: list[float], share: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
     """Return a quantile of the values by nearest rank."""
     ordered = sorted(values)
-    return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
 
 
 if __name__ == "__main__":
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -193,15 +193,15 @@
     return times_s
 
 
-def percentile(values: list[float], share: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
     """Return a quantile of the values by nearest rank."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def median_percentile(samples: list[Sample], share: float) -> float:
+def median_quantile(samples: list[Sample], fraction: float) -> float:
     """Return the median over all rounds of a quantile of the delays."""
-    return statistics.median(percentile(s.delays_s, share) for s in samples)
+    return statistics.median(quantile(s.delays_s, fraction) for s in samples)
 
 
 def tokens_per_processor_s(samples: list[Sample]) -> float:
@@ -251,16 +251,16 @@
     ratio = tokens_per_processor_s(entry) / tokens_per_processor_s(floor)
     target = f"at least {MIN_THROUGHPUT_RATIO}"
     report.add("entry to floor", ratio, "", target, ratio >= MIN_THROUGHPUT_RATIO)
-    for share in (0.5, 0.95, 0.99):
-        floor_ms = 1000 * median_percentile(floor, share)
-        added_ms = 1000 * median_percentile(entry, share) - floor_ms
-        name = f"delay added to the floor's {floor_ms:.2f} ms, {share:.0%}"
+    for fraction in (0.5, 0.95, 0.99):
+        floor_ms = 1000 * median_quantile(floor, fraction)
+        added_ms = 1000 * median_quantile(entry, fraction) - floor_ms
+        name = f"delay added to the floor's {floor_ms:.2f} ms, {fraction:.0%}"
         target = f"under {MAX_ADDED_DELAY_MS} ms"
         report.add(name, added_ms, "ms", target, added_ms < MAX_ADDED_DELAY_MS)
-    for share in (0.5, 0.95):
-        floor_ms = 1000 * percentile(first_byte_times_s["floor"], share)
-        added_ms = 1000 * percentile(first_byte_times_s["entry"], share) - floor_ms
-        name = f"first byte added to the floor's {floor_ms:.2f} ms, {share:.0%}"
+    for fraction in (0.5, 0.95):
+        floor_ms = 1000 * quantile(first_byte_times_s["floor"], fraction)
+        added_ms = 1000 * quantile(first_byte_times_s["entry"], fraction) - floor_ms
+        name = f"first byte added to the floor's {floor_ms:.2f} ms, {fraction:.0%}"
         target = f"at most {MAX_ADDED_FIRST_BYTE_MS} ms"
         report.add(name, added_ms, "ms", target, added_ms <= MAX_ADDED_FIRST_BYTE_MS)
     for kind in ("floor", "entry"):
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -33,12 +33,12 @@
 MAX_LEAVING_NOTICE_S = 2.0
 
 
-def quantile(values: list[float], share: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
     """Return a quantile by nearest rank; NaN without values."""
     ordered = sorted(values)
     if not ordered:
         return float("nan")
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def report_detection(report: Report, runs: list[DetectionResults]) -> None:
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -84,10 +84,10 @@
     )
     report.add(f"{label} preemptions", run_results.preemptions, "count")
     report.add(f"{label} stall time", run_results.stall_s, "s")
-    for share, value in run_results.gap_ms.items():
-        report.add(f"{label} gap {share}", value, "ms")
-    for share, value in run_results.first_token_ms.items():
-        report.add(f"{label} first token {share}", value, "ms")
+    for quantile, value in run_results.gap_ms.items():
+        report.add(f"{label} gap {quantile}", value, "ms")
+    for quantile, value in run_results.first_token_ms.items():
+        report.add(f"{label} first token {quantile}", value, "ms")
     report.add(
         f"{label} checks first token p95", run_results.check_first_token_ms["p95"], "ms"
     )
@@ -117,10 +117,10 @@
     if case.load <= 1.0:
         target = "<= 71 (Hovslag)"
         at_most("gap p95", credit.gap_ms["p95"], MAX_GAP_P95_MS, "ms", target)
-    for share in ("p50", "p95"):
-        bound = baseline.first_token_ms[share]
-        value = credit.first_token_ms[share]
-        at_most(f"first token {share}", value, bound, "ms", f"<= {bound}")
+    for quantile in ("p50", "p95"):
+        bound = baseline.first_token_ms[quantile]
+        value = credit.first_token_ms[quantile]
+        at_most(f"first token {quantile}", value, bound, "ms", f"<= {bound}")
     single_prompt_ratio = credit.lone_prompt_share / max(1e-9, credit.long_step_share)
     report.add(
         f"{case.name} long gaps by one prompt", round(single_prompt_ratio, 3), "share"
--- a/bench/routing_quantiles.py
+++ b/bench/routing_quantiles.py
@@ -12,8 +12,8 @@
     ordered = sorted(values) or [0.0]
     last = len(ordered) - 1
     return {
-        f"p{share}": round(ordered[int(last * share / 100)], 1)
-        for share in (50, 95, 99)
+        f"p{percent}": round(ordered[int(last * percent / 100)], 1)
+        for percent in (50, 95, 99)
     }
 
 
@@ -26,13 +26,13 @@
     """
     total = sum(gaps.values()) or 1
     quantile_by_name = {}
-    for share in (50, 95, 99):
+    for percent in (50, 95, 99):
         cumulative = 0
         for bucket in sorted(gaps):
             cumulative += gaps[bucket]
-            if cumulative * 100 >= share * total:
-                quantile_by_name[f"p{share}"] = (bucket + 1) * GAP_BUCKET_MS
+            if cumulative * 100 >= percent * total:
+                quantile_by_name[f"p{percent}"] = (bucket + 1) * GAP_BUCKET_MS
                 break
         else:
-            quantile_by_name[f"p{share}"] = 0.0
+            quantile_by_name[f"p{percent}"] = 0.0
     return quantile_by_name
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -113,7 +113,7 @@
         self.organisations = [
             Organisation(f"o{i}", key_sha256="0" * 64) for i in range(10)
         ]
-        self.configuration = self._configuration(taken_out=False)
+        self.configuration = self._make_configuration(taken_out=False)
         self.engines = {
             name: FakeEngine(name, self.spec, self.timer, plan.seed + number)
             for number, name in enumerate(self.configuration.targets)
@@ -125,7 +125,7 @@
         self.timely_tokens = 0
         self._make_entries()
 
-    def _configuration(self, taken_out: bool) -> Configuration:
+    def _make_configuration(self, taken_out: bool) -> Configuration:
         targets = {}
         for number in range(ENGINES):
             name = f"e{number}"
@@ -183,10 +183,10 @@
         return WARM_UP_S <= self.elapsed_s() < self.plan.duration_s
 
     async def serve(self, arrival: Arrival, entry: Entry) -> None:
-        """Route one request and retry it until it completes or attempts run out."""
-        measured = self.is_measuring()
+        """Route one request; retry it unless an attempt has produced a token."""
+        is_measured = self.is_measuring()
         arrived_s = self.timer.now_s()
-        self.results.requests += measured
+        self.results.requests += is_measured
         excluded: set[str] = set()
         for _ in range(MAX_ATTEMPTS):
             request = RouteRequest(
@@ -202,19 +202,19 @@
             try:
                 grant = await entry.router.acquire(request)
             except errors.RefusedError:
-                self.results.refused += measured
+                self.results.refused += is_measured
                 return
             if not grant.may_start():
                 grant.finished(Outcome.NOT_RUN)
                 continue
-            attempt = Attempt(self, arrival, grant, arrived_s, measured)
+            attempt = Attempt(self, arrival, grant, arrived_s, is_measured)
             if await attempt.run():
-                self.results.completed += measured
+                self.results.completed += is_measured
                 return
             excluded.add(grant.target.name)
             if attempt.sequence.produced:
                 break
-        self.results.broken += measured
+        self.results.broken += is_measured
 
     def is_taken_out(self, target: Target) -> bool:
         """Tell whether the target's data centre is taken out."""
@@ -269,7 +269,7 @@
             run_after(delay_s, action)
 
     def _set_taken_out(self, taken_out: bool) -> None:
-        self.configuration = self._configuration(taken_out)
+        self.configuration = self._make_configuration(taken_out)
 
     def _turn_taken_out_cold(self) -> None:
         for target in self.configuration.targets.values():
@@ -286,24 +286,26 @@
         arrival: Arrival,
         grant: Grant,
         arrived_s: float,
-        measured: bool,
+        is_measured: bool,
     ) -> None:
         self.simulation = simulation
         self.grant = grant
         self.arrived_s = arrived_s
         self.arrival = arrival
-        self.measured = measured
+        self.is_measured = is_measured
         self.last_token_s: float | None = None
         self.first_token_s = 0.0
-        self.delivered = 0
-        self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.delivered_tokens = 0
+        self.completion: asyncio.Future[bool] = (
+            asyncio.get_running_loop().create_future()
+        )
         self.sequence = Sequence(
             arrival.prompt_tokens,
             arrival.output_tokens,
             arrival.prefix,
             arrival.priority,
             self.on_token,
-            self.ended.set_result,
+            self.completion.set_result,
         )
 
     async def run(self) -> bool:
@@ -317,23 +319,23 @@
         if not engine.submit(self.sequence):
             self.grant.finished(Outcome.NOT_RUN)
             return False
-        is_complete = await self.ended
+        is_complete = await self.completion
         self.grant.finished(Outcome.DONE if is_complete else Outcome.FAILED)
         if is_complete:
-            simulation.completed_tokens += self.delivered
+            simulation.completed_tokens += self.delivered_tokens
             if self.first_token_s - self.arrived_s <= DEADLINE_S:
-                simulation.timely_tokens += self.delivered
+                simulation.timely_tokens += self.delivered_tokens
         return is_complete
 
     def on_token(self, now_s: float) -> None:
         """Record a token that the engine generated at a time."""
-        self.delivered += self.simulation.is_measuring()
+        self.delivered_tokens += self.simulation.is_measuring()
         if self.last_token_s is None:
             self.first_token_s = now_s
-            if self.measured:
+            if self.is_measured:
                 time_to_first_token_ms = 1000 * (now_s - self.arrived_s)
-                entry = (self.arrival.priority, time_to_first_token_ms)
-                self.simulation.first_token_times.append(entry)
+                sample = (self.arrival.priority, time_to_first_token_ms)
+                self.simulation.first_token_times.append(sample)
         else:
             self.simulation.record_gap(now_s - self.last_token_s)
         self.last_token_s = now_s
--- a/bench/routing_workload.py
+++ b/bench/routing_workload.py
@@ -15,12 +15,12 @@
 
 __all__ = ["Arrival", "make_arrivals", "mean_output_tokens"]
 
-CHECK_SHARE = 0.35
+CHECK_FRACTION = 0.35
 CHECK_PRIORITY = 0
 PLAN_PRIORITY = 1
-TEMPLATES = 24
+TEMPLATE_COUNT = 24
 TEMPLATE_BLOCKS = 4
-TEMPLATE_SHARE = 0.75
+TEMPLATE_FRACTION = 0.75
 ORGANISATION_SHARES = (0.35, 0.2, 0.15, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02)
 MAX_OUTPUT_TOKENS = 8000
 MAX_PROMPT_TOKENS = 6000
@@ -53,7 +53,7 @@
     plan_mean_tokens = (
         sum(_draw_plan_output_tokens(rng) for _ in range(20_000)) / 20_000
     )
-    return CHECK_SHARE * 18 + (1 - CHECK_SHARE) * plan_mean_tokens
+    return CHECK_FRACTION * 18 + (1 - CHECK_FRACTION) * plan_mean_tokens
 
 
 def make_arrivals(seed: int, rate_per_s: float, duration_s: float) -> list[Arrival]:
@@ -70,9 +70,9 @@
 
 def _draw_arrival(rng: random.Random, at_s: float, index: int) -> Arrival:
     organisation = rng.choices(range(10), ORGANISATION_SHARES)[0]
-    is_check = rng.random() < CHECK_SHARE
-    uses_template = rng.random() < TEMPLATE_SHARE
-    template = min(int(rng.paretovariate(1.0)), TEMPLATES)
+    is_check = rng.random() < CHECK_FRACTION
+    uses_template = rng.random() < TEMPLATE_FRACTION
+    template = min(int(rng.paretovariate(1.0)), TEMPLATE_COUNT)
     if is_check:
         unique_tokens = rng.randint(40, 250)
         output_tokens = _draw_check_output_tokens(rng)
