--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -139,7 +139,12 @@
 
 
 async def measure_lost_quorum() -> tuple[float, float]:
-    """Return the times in seconds to lose and to regain all leases with the quorum."""
+    """Measure how the leases follow a lost and a regained quorum.
+
+    Returns:
+      The seconds from the loss of the quorum until no VM holds a lease, and from its
+      return until all VMs hold one.
+    """
     with tempfile.TemporaryDirectory() as folder:
         fleet = WatcherFleet(SMALL_FLEET_VMS, 3, pathlib.Path(folder))
         await fleet.start()
--- a/bench/membership_trials.py
+++ b/bench/membership_trials.py
@@ -38,7 +38,7 @@
       leaving_times_s: time from the report of a leaving target until all VMs had
         learned of it.
       missed: deaths and leaving targets that some VM did not learn of in time.
-      false_deaths: reports of running VMs as gone.
+      false_deaths: number of times that a VM took a running VM for gone.
       homes_moved: homes that moved although their VM did not die.
       homes_checked: homes on VMs that did not die, which must not move.
       manual_s: duration of the run on the manual timer.
--- a/bench/order_engines.py
+++ b/bench/order_engines.py
@@ -138,9 +138,12 @@
 def orders_configuration(
     *, fencing: int = 2, plain: int = 2, loads_per_minute: float = 6.0
 ) -> Configuration:
-    """Return a configuration of engines that check fencing tokens and `plain` ones.
+    """Return a configuration of one data centre.
 
-    Plain engines execute orders with stale tokens, too.
+    Args:
+      fencing: number of engines that check fencing tokens.
+      plain: number of engines that also execute orders with stale tokens.
+      loads_per_minute: rate limit of model loads from the weight store.
     """
     targets = {}
     for kind, count in (("fencing", fencing), ("plain", plain)):
--- a/bench/order_trials.py
+++ b/bench/order_trials.py
@@ -1,4 +1,4 @@
-"""Random histories of competing orderers that are killed, pause and lose messages."""
+"""Random histories of competing orderers, with crashes, pauses and lost messages."""
 
 from __future__ import annotations
 
