--- a/tests/forwarding_case.py
+++ b/tests/forwarding_case.py
@@ -60,7 +60,7 @@
         network = MemoryNetwork(self.timer)
         transport = network.transport("entry")
         self.sync_client = FleetSyncClient(
-            self.timer, transport, ("nobody",), dict, lambda news: None
+            self.timer, transport, ("nobody",), dict, lambda updates: None
         )
         self.view = self.sync_client.view
         self.view.lease = ShareLease(1.0, self.timer.now_s() + 1_000)
