--- a/bench/membership.py
+++ b/bench/membership.py
@@ -49,7 +49,7 @@
     manual_s = sum(run.manual_s for run in runs)
     false_deaths = sum(run.false_deaths for run in runs)
     missed = sum(run.missed for run in runs)
-    moved = sum(run.homes_moved for run in runs)
+    moved = sum(run.targets_moved for run in runs)
     conditions = f"{DETECTION_VMS} VMs, 2 % loss"
     p99_s = quantile(times_s, 0.99)
     report.add(
@@ -82,7 +82,7 @@
         leaving_max_s <= MAX_LEAVING_NOTICE_S,
     )
     report.add(
-        f"homes moved of {sum(run.homes_checked for run in runs)} whose VM lived on",
+        f"homes moved of {sum(run.targets_checked for run in runs)} whose VM lived on",
         moved,
         "",
         "0",
--- a/bench/membership_trials.py
+++ b/bench/membership_trials.py
@@ -39,8 +39,8 @@
         learned of it.
       missed: deaths and leaving targets that some VM did not learn of in time.
       false_deaths: number of times that a VM took a running VM for gone.
-      homes_moved: homes that moved although their VM did not die.
-      homes_checked: homes on VMs that did not die, which must not move.
+      targets_moved: targets that moved although their owner did not die.
+      targets_checked: targets of VMs that did not die, which must not move.
       manual_s: duration of the run on the manual timer.
     """
 
@@ -49,8 +49,8 @@
     leaving_times_s: list[float] = attrs.Factory(list)
     missed: int = 0
     false_deaths: int = 0
-    homes_moved: int = 0
-    homes_checked: int = 0
+    targets_moved: int = 0
+    targets_checked: int = 0
     manual_s: float = 0.0
 
 
@@ -101,18 +101,18 @@
         return None
 
     async def measure_vm_death(self) -> None:
-        """Kill one VM, count the homes that moved, and restart the VM."""
+        """Kill one VM, count the targets that moved, and restart the VM."""
         await self.fleet.timer.advance(self.rng.random())
         victim = self.rng.choice(sorted(self.fleet.members))
         observer = next(name for name in self.fleet.members if name != victim)
-        before = self.fleet.homes(self.targets, observer)
+        before = self.fleet.owners(self.targets, observer)
         time_s = await self.kill([victim])
         if time_s is not None:
             self.results.times_s.append(time_s)
-        after = self.fleet.homes(self.targets, observer)
-        surviving = [name for name, home in before.items() if home != victim]
-        self.results.homes_checked += len(surviving)
-        self.results.homes_moved += sum(
+        after = self.fleet.owners(self.targets, observer)
+        surviving = [name for name, owner in before.items() if owner != victim]
+        self.results.targets_checked += len(surviving)
+        self.results.targets_moved += sum(
             before[name] != after[name] for name in surviving
         )
         await self.start(victim)
--- a/bench/memory_fleet.py
+++ b/bench/memory_fleet.py
@@ -163,11 +163,11 @@
         alive = {vm.name for vm in view if vm.state is VmState.ALIVE}
         return alive == set(self.members)
 
-    def homes(self, targets: list[Target], observer: str) -> dict[str, str]:
-        """Return the home VM of each target in the view of one VM, if it has one."""
+    def owners(self, targets: list[Target], observer: str) -> dict[str, str]:
+        """Return the owner of each target in the view of one VM, if it has one."""
         member = self.members[observer]
-        found = {target.name: member.home_of(target) for target in targets}
-        return {name: home.name for name, home in found.items() if home is not None}
+        found = {target.name: member.owner_of(target) for target in targets}
+        return {name: owner.name for name, owner in found.items() if owner is not None}
 
 
 def make_targets(count: int, data_centres: list[str]) -> list[Target]:
--- a/endivesill/assembly.py
+++ b/endivesill/assembly.py
@@ -114,7 +114,7 @@
             timer,
             self._configuration.current,
             EngineAdapter(self._client, timer),
-            self._membership.is_home,
+            self._membership.is_owner,
             MonitorSink(self._credit_server, self._membership.leaving_targets),
             self._prefixes,
         )
--- a/endivesill/membership/__init__.py
+++ b/endivesill/membership/__init__.py
@@ -1,12 +1,12 @@
-"""Fleet membership and the assignment of each target to its home VM."""
+"""Fleet membership and the assignment of each target to its owner, a VM."""
 
 from endivesill.membership.datagrams import (
     DatagramTransport,
     MemoryDatagramTransport,
     UdpDatagramTransport,
 )
-from endivesill.membership.homes import HomeTable, LiveEntry
 from endivesill.membership.leaving import LeavingTargets
+from endivesill.membership.owners import LiveEntry, OwnerTable
 from endivesill.membership.service import SwimMembership
 from endivesill.membership.settings import MembershipSettings
 from endivesill.membership.view import (
@@ -19,12 +19,12 @@
 
 __all__ = [
     "DatagramTransport",
-    "HomeTable",
     "LeavingTargets",
     "LiveEntry",
     "MembershipSettings",
     "MembershipView",
     "MemoryDatagramTransport",
+    "OwnerTable",
     "StaticMembership",
     "SwimMembership",
     "UdpDatagramTransport",
--- a/endivesill/membership/delegates.py
+++ b/endivesill/membership/delegates.py
@@ -4,9 +4,9 @@
 
 import random
 
-from endivesill.membership.homes import rendezvous_score
 from endivesill.membership.members import MemberTable
 from endivesill.membership.messages import Phase, VmUpdate
+from endivesill.membership.owners import rendezvous_score
 from endivesill.membership.settings import MembershipSettings
 
 __all__ = ["Delegates"]
--- a/endivesill/membership/events.py
+++ b/endivesill/membership/events.py
@@ -27,10 +27,10 @@
 PROCESS_PAUSED = events.define(
     7011,
     "process-paused",
-    "This process was paused; its homes count as newly assigned.",
+    "This process was paused; its targets count as newly assigned.",
 )
 HOME_TAKEN = events.define(
-    7012, "home-taken", "This VM has become the home of targets."
+    7012, "home-taken", "This VM has become the owner of targets."
 )
 TARGET_LEAVING = events.define(
     7020,
--- a/endivesill/membership/gossip_state.py
+++ b/endivesill/membership/gossip_state.py
@@ -66,7 +66,7 @@
         """Merge the whole state of another VM, as received in a sync.
 
         The two VMs may have been partitioned. A VM that is gone there but not here
-        becomes suspect, so that it can refute before its homes move. A joining VM
+        becomes suspect, so that it can refute before its targets move. A joining VM
         does not broadcast what it receives: it is new to that VM only.
         """
         rebroadcast = self._own.phase is not Phase.JOINING
--- a/endivesill/membership/messages.py
+++ b/endivesill/membership/messages.py
@@ -105,7 +105,7 @@
         )
 
     def is_live(self) -> bool:
-        """Return whether the VM can be a home: in phase ALIVE and not gone."""
+        """Return whether the VM can own targets: in phase ALIVE and not gone."""
         return self.phase is Phase.ALIVE and self.health is not Health.GONE
 
     def record(self) -> VmRecord:
--- a/endivesill/membership/homes.py
+++ b/endivesill/membership/owners.py
@@ -1,9 +1,9 @@
-"""Assignment of targets to their home VMs by rendezvous hashing.
+"""Assignment of targets to owner VMs by rendezvous hashing.
 
-The home of a target is the live entry of the target's data centre with the highest
+The owner of a target is the live entry of the target's data centre with the highest
 hash of target and VM. If that data centre has no live entry, the entries of the
 region are used, then those of the fleet. VMs with the same view of the fleet
-compute the same homes. A VM that leaves moves only its own targets; one that joins
+compute the same owners. A VM that leaves moves only its own targets; one that joins
 takes over only those for which it has the highest hash.
 """
 
@@ -17,7 +17,7 @@
 from endivesill.configuration.model import Target
 from endivesill.timer import TimerService
 
-__all__ = ["HomeTable", "LiveEntry", "rendezvous_score"]
+__all__ = ["LiveEntry", "OwnerTable", "rendezvous_score"]
 
 RegionOf = Callable[[str], str | None]
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class LiveEntry:
-    """A live VM with the entry role, which can be a home."""
+    """A live VM with the entry role, which can own targets."""
 
     name: str
     data_centre: str
@@ -38,14 +38,14 @@
 
 
 @attrs.frozen
-class _Home:
+class _Owner:
     scope: str
     vm_name: str
     score: int
 
 
-class HomeTable:
-    """The homes of targets, cached and updated when the live entries change.
+class OwnerTable:
+    """The owners of targets, cached and updated when the live entries change.
 
     Args:
       timer: the timer service.
@@ -59,14 +59,14 @@
         self._region_of = region_of
         self._names_by_scope: dict[str, frozenset[str]] = {}
         self._regions: dict[str, str] = {}
-        self._homes: dict[tuple[str, str], _Home] = {}
+        self._owners: dict[tuple[str, str], _Owner] = {}
         self._since_s: dict[str, float] = {}
 
     def update(self, entries: Iterable[LiveEntry]) -> list[str]:
-        """Set the live entries and reassign the cached homes that change.
+        """Set the live entries and reassign the cached owners that change.
 
         Returns:
-          The names of the targets whose home this VM has become.
+          The names of the targets that this VM has come to own.
         """
         names_by_scope: dict[str, set[str]] = {}
         for entry in entries:
@@ -85,30 +85,30 @@
         if not changed:
             return []
         gained = []
-        for key, home in list(self._homes.items()):
-            reassigned = self._reassign(key, home, previous)
-            if reassigned is not home and self._store_home(key, reassigned):
+        for key, owner in list(self._owners.items()):
+            reassigned = self._reassign(key, owner, previous)
+            if reassigned is not owner and self._store_owner(key, reassigned):
                 gained.append(key[0])
         return gained
 
     def _reassign(
-        self, key: tuple[str, str], home: _Home, previous: dict[str, frozenset[str]]
-    ) -> _Home | None:
+        self, key: tuple[str, str], owner: _Owner, previous: dict[str, frozenset[str]]
+    ) -> _Owner | None:
         target, data_centre = key
         scope = self._scope_of(data_centre)
         if scope is None:
             return None
         names = self._names_by_scope[scope]
         before = previous.get(scope, frozenset())
-        if scope == home.scope and names == before:
-            return home
-        if scope != home.scope or home.vm_name not in names:
-            return self._compute_home(target, scope)
+        if scope == owner.scope and names == before:
+            return owner
+        if scope != owner.scope or owner.vm_name not in names:
+            return self._compute_owner(target, scope)
         for name in names - before:
             score = rendezvous_score(target, name)
-            if score > home.score:
-                home = _Home(scope, name, score)
-        return home
+            if score > owner.score:
+                owner = _Owner(scope, name, score)
+        return owner
 
     def _scope_of(self, data_centre: str) -> str | None:
         region = self._region_of(data_centre) or self._regions.get(data_centre, "")
@@ -117,21 +117,21 @@
                 return scope
         return None
 
-    def _compute_home(self, target: str, scope: str) -> _Home:
+    def _compute_owner(self, target: str, scope: str) -> _Owner:
         scores = {
             name: rendezvous_score(target, name)
             for name in sorted(self._names_by_scope[scope])
         }
         best = max(scores, key=lambda name: scores[name])
-        return _Home(scope, best, scores[best])
+        return _Owner(scope, best, scores[best])
 
-    def _store_home(self, key: tuple[str, str], home: _Home | None) -> bool:
-        if home is None:
-            self._homes.pop(key, None)
+    def _store_owner(self, key: tuple[str, str], owner: _Owner | None) -> bool:
+        if owner is None:
+            self._owners.pop(key, None)
             self._since_s.pop(key[0], None)
             return False
-        self._homes[key] = home
-        if home.vm_name != self._own_name:
+        self._owners[key] = owner
+        if owner.vm_name != self._own_name:
             self._since_s.pop(key[0], None)
             return False
         if key[0] in self._since_s:
@@ -139,29 +139,29 @@
         self._since_s[key[0]] = self._timer.now_s()
         return True
 
-    def home_name(self, target: Target) -> str | None:
-        """Return the VM name of a target's home, or None without live entries."""
+    def owner_name(self, target: Target) -> str | None:
+        """Return the VM name of a target's owner, or None without live entries."""
         key = (target.name, target.data_centre)
-        home = self._homes.get(key)
-        if home is None:
+        owner = self._owners.get(key)
+        if owner is None:
             scope = self._scope_of(target.data_centre)
             if scope is None:
                 return None
-            home = self._compute_home(target.name, scope)
-            self._store_home(key, home)
-        return home.vm_name
+            owner = self._compute_owner(target.name, scope)
+            self._store_owner(key, owner)
+        return owner.vm_name
 
     def since_s(self, target: Target) -> float | None:
-        """Return when this VM became the target's home, or None if it is not.
+        """Return when this VM became the target's owner, or None if it is not.
 
         The time is that of the timer, in seconds.
         """
-        if self.home_name(target) != self._own_name:
+        if self.owner_name(target) != self._own_name:
             return None
         return self._since_s[target.name]
 
     def reset_since(self) -> None:
-        """Count all homes of this VM as acquired now, as after a process pause."""
+        """Count all targets of this VM as acquired now, as after a process pause."""
         now_s = self._timer.now_s()
         self._since_s = dict.fromkeys(self._since_s, now_s)
 
--- a/endivesill/membership/service.py
+++ b/endivesill/membership/service.py
@@ -25,7 +25,6 @@
 from endivesill.membership.exchange import DatagramExchange
 from endivesill.membership.gossip import Gossip
 from endivesill.membership.gossip_state import GossipState
-from endivesill.membership.homes import HomeTable, LiveEntry
 from endivesill.membership.identity import OwnState
 from endivesill.membership.joining import Synchronizer
 from endivesill.membership.leaving import LeavingTargets
@@ -37,6 +36,7 @@
     Phase,
     VmUpdate,
 )
+from endivesill.membership.owners import LiveEntry, OwnerTable
 from endivesill.membership.probes import Prober
 from endivesill.membership.settings import MembershipSettings
 from endivesill.membership.suspicion import SuspicionTimers
@@ -120,7 +120,7 @@
         self._synchronizer = Synchronizer(
             timer, self.table, settings, self._rng, peers, self._gossip_state, self._own
         )
-        self._homes = HomeTable(timer, vm.name, self._region_of)
+        self._owners = OwnerTable(timer, vm.name, self._region_of)
         self.table.subscribe(self._on_table_change)
 
     def _initial_update(self) -> VmUpdate:
@@ -159,7 +159,7 @@
         self._exchange.close()
 
     async def leave(self) -> None:
-        """Announce that this VM is leaving, so that its homes move at once."""
+        """Announce that this VM is leaving, so that its targets move at once."""
         self._own.announce(Phase.LEAVING)
         self._gossip.push_now()
 
@@ -183,25 +183,27 @@
         """The record of this VM, as other VMs see it."""
         return self.table.own.record()
 
-    def home_of(self, target: Target) -> VmRecord | None:
-        """Return the home of a target; see the base class."""
-        name = self._homes.home_name(target)
+    def owner_of(self, target: Target) -> VmRecord | None:
+        """Return the owner of a target; see the base class."""
+        name = self._owners.owner_name(target)
         member = self.table.get(name) if name is not None else None
         return member.record() if member is not None else None
 
-    def is_home(self, target: Target) -> bool:
-        """Return whether this VM is a target's home.
+    def is_owner(self, target: Target) -> bool:
+        """Return whether this VM is a target's owner.
 
         It is not while another process uses its name, nor after a pause of this
         process until another VM has acknowledged a probe.
         """
-        return self._can_hold_homes() and self._homes.home_name(target) == self._vm.name
+        return (
+            self._can_own_targets() and self._owners.owner_name(target) == self._vm.name
+        )
 
-    def home_since_s(self, target: Target) -> float | None:
-        """Return when this VM became a target's home; see the base class."""
-        return self._homes.since_s(target) if self._can_hold_homes() else None
+    def owner_since_s(self, target: Target) -> float | None:
+        """Return when this VM became a target's owner; see the base class."""
+        return self._owners.since_s(target) if self._can_own_targets() else None
 
-    def _can_hold_homes(self) -> bool:
+    def _can_own_targets(self) -> bool:
         if self._own.superseded or self._is_paused():
             return False
         return self._acked_since_pause or not self.table.others()
@@ -217,20 +219,20 @@
         if known is None or known.record() != update.record():
             _log_change(update)
         if (known is not None and known.is_live()) != update.is_live():
-            self._update_homes()
+            self._update_owners()
         self._notify()
 
     def _on_suspected(self) -> None:
-        """Reset the ages of the homes: another VM may have held them meanwhile."""
-        self._homes.reset_since()
+        """Reset the start times: another VM may have owned the targets meanwhile."""
+        self._owners.reset_since()
 
-    def _update_homes(self) -> None:
+    def _update_owners(self) -> None:
         live_entries = [
             LiveEntry(member.name, member.data_centre, member.region)
             for member in self.table.all()
             if member.is_live() and "entry" in member.roles
         ]
-        taken = self._homes.update(live_entries)
+        taken = self._owners.update(live_entries)
         if taken:
             events.emit(HOME_TAKEN, targets=taken)
 
@@ -302,8 +304,8 @@
     async def _watch_for_pauses(self) -> None:
         """Detect pauses of this process.
 
-        After one, no timeout that ran meanwhile counts, and another VM may hold the
-        homes of this one.
+        After one, no timeout that ran meanwhile counts, and another VM may own the
+        targets of this one.
         """
         while True:
             await self._timer.sleep(PAUSE_CHECK_PERIOD_S)
@@ -312,7 +314,7 @@
                 events.emit(PROCESS_PAUSED, paused_s=round(paused_s, 3))
                 self._acked_since_pause = False
                 self._suspicion_timers.restart()
-                self._homes.reset_since()
+                self._owners.reset_since()
             self._last_pause_check_s = self._timer.now_s()
 
 
--- a/endivesill/membership/view.py
+++ b/endivesill/membership/view.py
@@ -1,7 +1,7 @@
 """The view of the fleet that membership offers to the other services.
 
 `MembershipView` is the base class; `StaticMembership` is an implementation for
-tests. The home of a target is the live entry of the target's data centre with the
+tests. The owner of a target is the live entry of the target's data centre with the
 highest rendezvous hash. If that data centre has no live entry, the entries of the
 region are used, then those of the whole fleet.
 """
@@ -62,7 +62,7 @@
         """Return all known VMs, including this one, ordered by name."""
         raise NotImplementedError
 
-    def home_of(self, target: Target) -> VmRecord | None:
+    def owner_of(self, target: Target) -> VmRecord | None:
         """Return the VM that polls a target and lends its credits.
 
         Returns:
@@ -70,18 +70,18 @@
         """
         raise NotImplementedError
 
-    def is_home(self, target: Target) -> bool:
-        """Return whether this VM is the target's home."""
+    def is_owner(self, target: Target) -> bool:
+        """Return whether this VM is the target's owner."""
         raise NotImplementedError
 
-    def home_since_s(self, target: Target) -> float | None:
-        """Return when this VM became a target's home, on the timer's clock.
+    def owner_since_s(self, target: Target) -> float | None:
+        """Return when this VM became a target's owner, on the timer's clock.
 
-        From that time until the credits lent by the previous home have expired, a
-        home lends from the cold-start allowance only.
+        From that time until the credits lent by the previous owner have expired, a
+        owner lends from the cold-start allowance only.
 
         Returns:
-          Seconds on the timer's clock, or None if this VM is not the home.
+          Seconds on the timer's clock, or None if this VM is not the owner.
         """
         raise NotImplementedError
 
@@ -100,43 +100,43 @@
     Args:
       own_name: this VM's name.
       vms: the VMs of the fleet.
-      homes: the name of the home VM by target name.
+      owners: the name of the owner, a VM, by target name.
 
     Attributes:
-      homes: see above.
-      since_s: when this VM became the home, by target name.
+      owners: see above.
+      since_s: when this VM became the owner, by target name.
     """
 
     def __init__(
-        self, own_name: str, vms: tuple[VmRecord, ...], homes: dict[str, str]
+        self, own_name: str, vms: tuple[VmRecord, ...], owners: dict[str, str]
     ) -> None:
         super().__init__()
         self._own_name = own_name
         self._vms = vms
-        self.homes = homes
+        self.owners = owners
         self.since_s: dict[str, float] = {}
 
     def vms(self) -> tuple[VmRecord, ...]:
         """Return the configured VMs."""
         return self._vms
 
-    def home_of(self, target: Target) -> VmRecord | None:
-        """Return the configured home of a target."""
-        home = self.homes.get(target.name)
-        return next((vm for vm in self._vms if vm.name == home), None)
+    def owner_of(self, target: Target) -> VmRecord | None:
+        """Return the configured owner of a target."""
+        owner = self.owners.get(target.name)
+        return next((vm for vm in self._vms if vm.name == owner), None)
 
-    def is_home(self, target: Target) -> bool:
-        """Return whether the configured home is this VM."""
-        return self.homes.get(target.name) == self._own_name
+    def is_owner(self, target: Target) -> bool:
+        """Return whether the configured owner is this VM."""
+        return self.owners.get(target.name) == self._own_name
 
-    def home_since_s(self, target: Target) -> float | None:
+    def owner_since_s(self, target: Target) -> float | None:
         """Return the time in `since_s`; minus infinity if there is none."""
-        if not self.is_home(target):
+        if not self.is_owner(target):
             return None
         return self.since_s.get(target.name, float("-inf"))
 
-    def replace(self, vms: tuple[VmRecord, ...], homes: dict[str, str]) -> None:
-        """Replace VMs and homes and notify the listeners."""
+    def replace(self, vms: tuple[VmRecord, ...], owners: dict[str, str]) -> None:
+        """Replace VMs and owners and notify the listeners."""
         self._vms = vms
-        self.homes = homes
+        self.owners = owners
         self._notify()
--- a/endivesill/orders/service.py
+++ b/endivesill/orders/service.py
@@ -28,7 +28,7 @@
 class OrderService(Service):
     """Acquires the leases of the data centres whose orderer this VM should be.
 
-    The preferred orderer of a data centre is the VM that would be the home of a
+    The preferred orderer of a data centre is the VM that would be the owner of a
     target named after it. The lease decides which VM is the orderer.
 
     Args:
@@ -167,7 +167,7 @@
     def _should_be_orderer(self, data_centre: str) -> bool:
         name = f"orderer/{data_centre}"
         pseudo_target = Target(name, service="", url="http://", data_centre=data_centre)
-        return self._membership.is_home(pseudo_target)
+        return self._membership.is_owner(pseudo_target)
 
     async def _run_orderer(self, data_centre: str) -> None:
         """Acquire the lease of a data centre and keep it while this VM should.
--- a/endivesill/routing/credit_client.py
+++ b/endivesill/routing/credit_client.py
@@ -220,7 +220,7 @@
         return idle_s < IDLE_TIMEOUT_S or self.running_at(target) > 0
 
     def _owner(self, target: Target) -> _OwnerState | None:
-        record = self._membership.home_of(target) if self._membership else None
+        record = self._membership.owner_of(target) if self._membership else None
         if record is None or self._peers is None:
             return None
         return self._owners.setdefault(record.address, _OwnerState(record.address))
@@ -244,7 +244,7 @@
         found = []
         for name in self._demand_s:
             target = configured.get(name)
-            record = self._membership.home_of(target) if target else None
+            record = self._membership.owner_of(target) if target else None
             if target and record and record.address == owner.address:
                 found.append(target)
         return found
@@ -280,7 +280,7 @@
         gained = False
         for target in targets:
             fields = answer["loans"].get(target.name)
-            record = self._membership.home_of(target)
+            record = self._membership.owner_of(target)
             if fields is None or record is None or record.address != owner.address:
                 continue
             slots, tokens, prefill_tokens, serial = fields
@@ -307,7 +307,7 @@
         targets = self._configuration().targets
         for name, (instance, _) in list(self._allocations.items()):
             target = targets.get(name)
-            record = self._membership.home_of(target) if target else None
+            record = self._membership.owner_of(target) if target else None
             if target is None:
                 del self._allocations[name]
             elif record is None or instances.get(record.name) != instance:
--- a/endivesill/routing/credit_server.py
+++ b/endivesill/routing/credit_server.py
@@ -69,7 +69,7 @@
 
     def is_owner(self, target: Target) -> bool:
         """Tell whether this VM owns the target."""
-        return self._membership is None or self._membership.is_home(target)
+        return self._membership is None or self._membership.is_owner(target)
 
     def allocator(self, target: Target) -> CreditAllocator:
         """Return a target's allocator, with the target as configured now.
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -179,7 +179,7 @@
             await self.fleet.start(name)
             await self.timer.advance(2.0)
             self.assertTrue(self.fleet.is_converged())
-            views = [self.fleet.homes(targets, vm) for vm in self.fleet.members]
+            views = [self.fleet.owners(targets, vm) for vm in self.fleet.members]
             self.assertTrue(all(view == views[0] for view in views))
 
     async def test_vm_that_left_is_not_retried(self):
@@ -193,32 +193,32 @@
 
 
 class PauseTest(FleetTestCase):
-    async def test_paused_process_is_no_home_until_another_vm_answers(self):
+    async def test_paused_process_is_not_owner_until_another_vm_answers(self):
         target = make_targets(1, ["a"])[0]
-        name = self.fleet.homes([target], "vm-1")[target.name]
+        name = self.fleet.owners([target], "vm-1")[target.name]
         member = self.fleet.members[name]
-        self.assertTrue(member.is_home(target))
-        before_s = member.home_since_s(target)
+        self.assertTrue(member.is_owner(target))
+        before_s = member.owner_since_s(target)
         self.fleet.partition([name])
         self.timer.jump(20.0)
-        self.assertFalse(member.is_home(target))
-        self.assertIsNone(member.home_since_s(target))
+        self.assertFalse(member.is_owner(target))
+        self.assertIsNone(member.owner_since_s(target))
         await self.timer.advance(0.7)
-        self.assertFalse(member.is_home(target))
+        self.assertFalse(member.is_owner(target))
         self.fleet.network.heal()
         await self.timer.advance(10.0)
         self.assertTrue(self.fleet.is_converged())
-        self.assertTrue(member.is_home(target))
-        self.assertGreater(member.home_since_s(target), before_s + 20.5)
+        self.assertTrue(member.is_owner(target))
+        self.assertGreater(member.owner_since_s(target), before_s + 20.5)
 
-    async def test_two_processes_with_one_name_do_not_both_hold_homes(self):
+    async def test_two_processes_with_one_name_do_not_both_own_targets(self):
         old = self.fleet.members.pop("vm-2")
         self.fleet.locations["vm-2"] = ("a", "10.0.9.9:7000")
         new = await self.fleet.start("vm-2")
         await self.timer.advance(4 * DETECTION_S)
         targets = make_targets(30, ["a"])
-        self.assertFalse(any(old.is_home(target) for target in targets))
-        self.assertTrue(any(new.is_home(target) for target in targets))
+        self.assertFalse(any(old.is_owner(target) for target in targets))
+        self.assertTrue(any(new.is_owner(target) for target in targets))
         await old.stop()
 
 
