--- a/endivesill/entry/__init__.py
+++ b/endivesill/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Entry node: the client-facing HTTP API for generations and plain services."""
+"""Entry node: the caller-facing HTTP API for generations and plain services."""
 
 from endivesill.entry.application import EntryApplication
 
--- a/endivesill/entry/application.py
+++ b/endivesill/entry/application.py
@@ -1,4 +1,4 @@
-"""ASGI application of the client-facing port."""
+"""ASGI application of the caller-facing port."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class EntryApplication:
-    """Authenticates, routes and answers client requests.
+    """Authenticates, routes and answers callers' requests.
 
     Args:
       context: services shared by the modules of the entry.
@@ -96,7 +96,7 @@
             return "failed"
 
     def is_ready(self) -> bool:
-        """Return whether the load balancer may send new clients here."""
+        """Return whether the load balancer may send new callers here."""
         return self._context.source.holds_lease() and not self._context.is_draining()
 
     async def _health(self, request: AsgiRequest, response: Response) -> None:
--- a/endivesill/entry/service.py
+++ b/endivesill/entry/service.py
@@ -32,7 +32,7 @@
 
 
 class EntryService(Service):
-    """Runs the client-facing port.
+    """Runs the caller-facing port.
 
     The services `router` and `control` must be registered in the kernel.
 
@@ -99,7 +99,7 @@
             self._background.spawn(self.application.move_generations(target_name))
 
     async def start(self) -> None:
-        """Open the port for client requests."""
+        """Open the port for callers' requests."""
         self.application = EntryApplication(self._context())
         self._server = HttpServer(self._address, self.application, **self._options)
         await self._server.start()
