--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -38,12 +38,12 @@
     REJECTED = "rejected"
     WRONG_TARGET = "wrong-target"
     BROKEN = "broken"
-    FOREIGN_ANSWER = "foreign-answer"
+    FOREIGN_RESPONSE = "foreign-answer"
 
     @property
     def not_run(self) -> bool:
         """Whether the target certainly has not run the request and will not."""
-        return self not in (Failure.BROKEN, Failure.FOREIGN_ANSWER)
+        return self not in (Failure.BROKEN, Failure.FOREIGN_RESPONSE)
 
     @property
     def reached_target(self) -> bool:
@@ -55,7 +55,7 @@
     SendFailure.NO_CONNECTION: Failure.NO_CONNECTION,
     SendFailure.NOT_STARTED: Failure.TARGET_LEFT,
     SendFailure.BROKEN: Failure.BROKEN,
-    SendFailure.FOREIGN_RESPONSE: Failure.FOREIGN_ANSWER,
+    SendFailure.FOREIGN_RESPONSE: Failure.FOREIGN_RESPONSE,
 }
 
 
--- a/endivesill/membership/events.py
+++ b/endivesill/membership/events.py
@@ -29,7 +29,7 @@
     "process-paused",
     "This process was paused; its targets count as newly assigned.",
 )
-HOME_TAKEN = events.define(
+OWNERSHIP_TAKEN = events.define(
     7012, "home-taken", "This VM has become the owner of targets."
 )
 TARGET_LEAVING = events.define(
--- a/endivesill/membership/service.py
+++ b/endivesill/membership/service.py
@@ -15,7 +15,7 @@
 from endivesill.membership.datagrams import DatagramTransport
 from endivesill.membership.delegates import Delegates
 from endivesill.membership.events import (
-    HOME_TAKEN,
+    OWNERSHIP_TAKEN,
     PROCESS_PAUSED,
     VM_ALIVE,
     VM_GONE,
@@ -234,7 +234,7 @@
         ]
         taken = self._owners.update(live_entries)
         if taken:
-            events.emit(HOME_TAKEN, targets=taken)
+            events.emit(OWNERSHIP_TAKEN, targets=taken)
 
     def _answer_ping(self, datagram: Datagram, source: str) -> None:
         """Acknowledge a probe; a suspected prober is told of the suspicion."""
--- a/endivesill/routing/credit_server.py
+++ b/endivesill/routing/credit_server.py
@@ -14,7 +14,7 @@
 from endivesill.membership import MembershipView
 from endivesill.peers import Message, PeerTransport
 from endivesill.routing.credits import Allocation, CreditAllocator, Usage
-from endivesill.routing.events import CREDITS_REVOKED, HOME_TAKEN
+from endivesill.routing.events import CREDITS_REVOKED, OWNERSHIP_TAKEN
 from endivesill.targets.messages import LoadReport
 from endivesill.timer import TimerService
 
@@ -90,7 +90,7 @@
             self._timer.now_s(),
         )
         self._allocators[target.name] = allocator
-        events.emit(HOME_TAKEN, target=target.name)
+        events.emit(OWNERSHIP_TAKEN, target=target.name)
         return allocator
 
     def on_revoke(self, listener: Callable[[Target], None]) -> None:
--- a/endivesill/routing/events.py
+++ b/endivesill/routing/events.py
@@ -4,7 +4,7 @@
 
 __all__ = [
     "CREDITS_REVOKED",
-    "HOME_TAKEN",
+    "OWNERSHIP_TAKEN",
     "ROUTE_CHOSEN",
     "ROUTE_REFUSED",
     "TARGET_RECOOLED",
@@ -15,7 +15,7 @@
 CREDITS_REVOKED = events.define(
     3010, "credits-revoked", "The owner of a target revoked all its credits."
 )
-HOME_TAKEN = events.define(
+OWNERSHIP_TAKEN = events.define(
     3011, "home-taken", "This VM began to allocate the credits of a target."
 )
 TARGET_RECOOLED = events.define(
