--- a/endivesill/entry/exchange.py
+++ b/endivesill/entry/exchange.py
@@ -17,7 +17,7 @@
 from endivesill.entry.http import Response, raw_headers
 from endivesill.entry.plain_request import PlainRequest
 from endivesill.routing import Grant, Outcome
-from endivesill.targets import PlainAnswer, PlainCall
+from endivesill.targets import PlainCall, PlainResponse
 
 __all__ = ["PlainExchange"]
 
@@ -46,7 +46,7 @@
         self._attempts = Attempts(
             context, call.service, call.organisation, response.request_id
         )
-        self._target_response: PlainAnswer | None = None
+        self._target_response: PlainResponse | None = None
         self._stored: list[bytes] = []
         self._stored_bytes = 0
 
@@ -101,7 +101,7 @@
         finally:
             grant.finished(outcome)
 
-    async def _send(self, grant: Grant) -> PlainAnswer:
+    async def _send(self, grant: Grant) -> PlainResponse:
         attempt_id = uuid.uuid4().hex
         events.emit(
             CALL_SENT,
@@ -125,7 +125,7 @@
             self._context.start_check(grant),
         )
 
-    async def _forward_response(self, target_response: PlainAnswer) -> None:
+    async def _forward_response(self, target_response: PlainResponse) -> None:
         """Forward the response as it arrives, with time limits on both sides.
 
         If the caller disconnects or reads too slowly, the response is still read
--- a/endivesill/targets/__init__.py
+++ b/endivesill/targets/__init__.py
@@ -1,7 +1,7 @@
 """Targets: protocol adapters, their messages, and the token scanner."""
 
 from endivesill.targets.adapter import ADAPTERS, TargetAdapter, adapter, make_adapter
-from endivesill.targets.client import TargetAnswer, TargetClient, TargetRequest
+from endivesill.targets.client import TargetClient, TargetRequest, TargetResponse
 from endivesill.targets.engine import EngineAdapter, EngineStream
 from endivesill.targets.messages import (
     CacheEvent,
@@ -10,7 +10,7 @@
     LoadReport,
     Order,
 )
-from endivesill.targets.plain import PlainAdapter, PlainAnswer, PlainCall
+from endivesill.targets.plain import PlainAdapter, PlainCall, PlainResponse
 from endivesill.targets.tokens import ScannedBlock, TokenScanner
 
 __all__ = [
@@ -23,11 +23,11 @@
     "LoadReport",
     "Order",
     "PlainAdapter",
-    "PlainAnswer",
+    "PlainResponse",
     "PlainCall",
     "ScannedBlock",
     "TargetAdapter",
-    "TargetAnswer",
+    "TargetResponse",
     "TargetClient",
     "TargetRequest",
     "TokenScanner",
--- a/endivesill/targets/client.py
+++ b/endivesill/targets/client.py
@@ -24,7 +24,7 @@
 )
 from endivesill.timer import TimerService
 
-__all__ = ["TargetAnswer", "TargetClient", "TargetRequest", "split_target_url"]
+__all__ = ["TargetClient", "TargetRequest", "TargetResponse", "split_target_url"]
 
 CONNECT_TIMEOUT_S = 1.0
 # Shorter than the idle timeout of the targets.
@@ -53,7 +53,7 @@
     body: bytes = b""
 
 
-class TargetAnswer:
+class TargetResponse:
     """A target's response, whose body is read incrementally.
 
     Args:
@@ -131,7 +131,7 @@
         *,
         new_connection: bool = False,
         may_start: Callable[[], bool] | None = None,
-    ) -> TargetAnswer:
+    ) -> TargetResponse:
         """Send a request and return the response once its head has arrived.
 
         Args:
@@ -158,7 +158,7 @@
             )
         except SendError as error:
             raise _target_error(error) from None
-        return TargetAnswer(self._pool, connection, head)
+        return TargetResponse(self._pool, connection, head)
 
     async def json(
         self,
@@ -176,11 +176,11 @@
         """
 
         async def exchange() -> tuple[int, bytes]:
-            answer = await self.open(target, request)
+            response = await self.open(target, request)
             try:
-                return answer.status, await answer.read_all()
+                return response.status, await response.read_all()
             finally:
-                answer.close()
+                response.close()
 
         try:
             status, body = await self._timer.wait_for(exchange(), timeout_s)
--- a/endivesill/targets/engine.py
+++ b/endivesill/targets/engine.py
@@ -11,7 +11,7 @@
 from endivesill import errors, events
 from endivesill.configuration.model import Target
 from endivesill.targets.adapter import TargetAdapter, adapter
-from endivesill.targets.client import TargetAnswer, TargetRequest
+from endivesill.targets.client import TargetRequest, TargetResponse
 from endivesill.targets.events import ANSWER_DROPPED, CANCEL_FAILED
 from endivesill.targets.messages import (
     CacheEvent,
@@ -36,11 +36,11 @@
     """The byte stream of a generation.
 
     Args:
-      answer: the engine's response, whose body has not been read.
+      response: the engine's response, whose body has not been read.
     """
 
-    def __init__(self, answer: TargetAnswer) -> None:
-        self._answer = answer
+    def __init__(self, response: TargetResponse) -> None:
+        self._response = response
 
     async def read(self) -> bytes:
         """Wait for bytes of the stream and return them; b"" at the end.
@@ -48,14 +48,14 @@
         Raises:
           TargetError: the connection broke or was closed.
         """
-        return await self._answer.read()
+        return await self._response.read()
 
     def close(self) -> None:
         """Release the connection, which is reused only after the end of the stream.
 
         A pending `read` raises TargetError.
         """
-        self._answer.close()
+        self._response.close()
 
 
 @adapter("engine")
@@ -134,15 +134,15 @@
         may_start: Callable[[], bool] | None = None,
     ) -> EngineStream:
         request = TargetRequest("POST", path, tuple(headers.items()), body)
-        answer = await self.client.open(target, request, may_start=may_start)
-        if answer.status == 200:
-            if answer.header(ATTEMPT_HEADER) == attempt_id:
-                return EngineStream(answer)
-            answer.close()
+        response = await self.client.open(target, request, may_start=may_start)
+        if response.status == 200:
+            if response.header(ATTEMPT_HEADER) == attempt_id:
+                return EngineStream(response)
+            response.close()
             events.emit(ANSWER_DROPPED, target=target.name, attempt_id=attempt_id)
             raise errors.TargetError("the answer belongs to another attempt")
-        answer.close()
-        raise _status_error(answer)
+        response.close()
+        raise _status_error(response)
 
     async def cancel(
         self, target: Target, generation_id: str, attempts: Sequence[str] = ()
@@ -242,13 +242,13 @@
         return document
 
 
-def _status_error(answer: TargetAnswer) -> errors.TargetError:
-    detail = f"the engine answered {answer.status}"
-    if answer.status in (404, 410):
-        return errors.TargetGoneError(detail, answer.header(MOVED_HEADER))
-    if answer.status == 409:
+def _status_error(response: TargetResponse) -> errors.TargetError:
+    detail = f"the engine answered {response.status}"
+    if response.status in (404, 410):
+        return errors.TargetGoneError(detail, response.header(MOVED_HEADER))
+    if response.status == 409:
         return errors.SupersededError(detail)
-    if answer.header(RUN_HEADER) == NOT_RUN:
+    if response.header(RUN_HEADER) == NOT_RUN:
         return errors.TargetRefusedError(detail)
     return errors.TargetError(detail)
 
--- a/endivesill/targets/plain.py
+++ b/endivesill/targets/plain.py
@@ -9,10 +9,10 @@
 from endivesill import errors
 from endivesill.configuration.model import Target
 from endivesill.targets.adapter import TargetAdapter, adapter
-from endivesill.targets.client import TargetAnswer, TargetRequest
+from endivesill.targets.client import TargetRequest, TargetResponse
 from endivesill.targets.engine import NOT_RUN, RUN_HEADER
 
-__all__ = ["PlainAdapter", "PlainAnswer", "PlainCall", "end_to_end_headers"]
+__all__ = ["PlainAdapter", "PlainCall", "PlainResponse", "end_to_end_headers"]
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -53,21 +53,21 @@
     repeatable: bool = True
 
 
-class PlainAnswer:
+class PlainResponse:
     """A plain service's response, whose body is read incrementally.
 
     Args:
-      answer: the target's response, whose body has not been read.
+      response: the target's response, whose body has not been read.
     """
 
-    def __init__(self, answer: TargetAnswer) -> None:
-        self._answer = answer
-        self.status = answer.status
-        self.headers = end_to_end_headers(answer.headers)
+    def __init__(self, response: TargetResponse) -> None:
+        self._response = response
+        self.status = response.status
+        self.headers = end_to_end_headers(response.headers)
 
     def reports_not_run(self) -> bool:
         """Tell whether the target reports that it did not run the call."""
-        return self.status == 503 and self._answer.header(RUN_HEADER) == NOT_RUN
+        return self.status == 503 and self._response.header(RUN_HEADER) == NOT_RUN
 
     async def read(self) -> bytes:
         """Wait for bytes of the body and return them; b"" at the end.
@@ -75,11 +75,11 @@
         Raises:
           TargetError: the connection broke or was closed.
         """
-        return await self._answer.read()
+        return await self._response.read()
 
     def close(self) -> None:
         """Release the connection, which is reused only after the end of the body."""
-        self._answer.close()
+        self._response.close()
 
 
 def end_to_end_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
@@ -105,7 +105,7 @@
         call: PlainCall,
         timeout_s: float,
         may_start: Callable[[], bool] | None = None,
-    ) -> PlainAnswer:
+    ) -> PlainResponse:
         """Send a call and return the response once its headers have arrived.
 
         Args:
@@ -128,8 +128,8 @@
             opened = await self.timer.wait_for(opening, timeout_s)
         except errors.DeadlineExceededError:
             raise errors.TargetError(f"no answer within {timeout_s} s") from None
-        answer = PlainAnswer(opened)
-        if answer.reports_not_run():
-            answer.close()
+        response = PlainResponse(opened)
+        if response.reports_not_run():
+            response.close()
             raise errors.TargetRefusedError("the target says that it did not run it")
-        return answer
+        return response
