--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -297,7 +297,7 @@
             waited_s += POLL_INTERVAL_S
 
     async def is_ready(self, name: str) -> bool:
-        """Tell whether an entry reports ready; False if it does not respond."""
+        """Return whether an entry reports ready; False if it does not respond."""
         url = f"http://{self.caller_addresses[name]}/health/ready"
         timeout = aiohttp.ClientTimeout(total=1.0)
         try:
--- a/bench/memory_fleet.py
+++ b/bench/memory_fleet.py
@@ -152,7 +152,7 @@
         return {self.state(other, name) for other in self.members if other != name}
 
     def is_converged(self) -> bool:
-        """Tell whether all views are equal, with exactly the running VMs alive."""
+        """Return whether all views are equal, with exactly the running VMs alive."""
         views = {
             tuple(vm for vm in member.vms() if vm.state is not VmState.GONE)
             for member in self.members.values()
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -179,7 +179,7 @@
         return self.timer.now_s() - self.start_s
 
     def is_measuring(self) -> bool:
-        """Tell whether the warm-up is over and requests still arrive."""
+        """Return whether the warm-up is over and requests still arrive."""
         return WARM_UP_S <= self.elapsed_s() < self.plan.duration_s
 
     async def serve(self, arrival: Arrival, entry: Entry) -> None:
@@ -217,7 +217,7 @@
         self.results.broken += is_measured
 
     def is_taken_out(self, target: Target) -> bool:
-        """Tell whether the target's data centre is taken out."""
+        """Return whether the target's data centre is taken out."""
         return self.configuration.data_centres[target.data_centre].taken_out
 
     def record_cold_start(self, target: Target) -> None:
--- a/bench/standin_engine.py
+++ b/bench/standin_engine.py
@@ -347,7 +347,7 @@
 
 
 def _is_owner(request: Request, generation: StandinGeneration) -> bool:
-    """Tell whether the generation's last attempt is one of the caller's."""
+    """Return whether the generation's last attempt is one of the caller's."""
     attempts = request.headers.get("x-previous-attempts")
     return attempts is None or generation.attempt_id in attempts.split(",")
 
--- a/endivesill/configuration/watcher.py
+++ b/endivesill/configuration/watcher.py
@@ -184,7 +184,7 @@
                 return
 
     async def _renew(self) -> float | None:
-        """Ask once for newer revisions and the lease.
+        """Request newer revisions and the lease once.
 
         Returns:
           The start of the lease if it was renewed, or None.
--- a/endivesill/control/entries.py
+++ b/endivesill/control/entries.py
@@ -18,7 +18,7 @@
     """Kind of a log entry.
 
     NO_OP is the first entry of a leader's term; COMMAND holds a proposal; VOTERS
-    holds a new voter set; SNAPSHOT is never in the log, it tells listeners that a
+    holds a new voter set; SNAPSHOT is never in the log; it notifies listeners that a
     snapshot was installed.
     """
 
--- a/endivesill/entry/application.py
+++ b/endivesill/entry/application.py
@@ -1,4 +1,4 @@
-"""ASGI application of the caller-facing port."""
+"""ASGI application of the callers' port."""
 
 from __future__ import annotations
 
--- a/endivesill/entry/exchange.py
+++ b/endivesill/entry/exchange.py
@@ -66,7 +66,7 @@
         """Send the call, retrying where allowed, and forward the response.
 
         Raises:
-          TargetError: the call failed; `run` says whether it may have run.
+          TargetError: the call failed; `run` states whether it may have run.
           RefusedError: no target accepted the call.
         """
         while True:
--- a/endivesill/entry/service.py
+++ b/endivesill/entry/service.py
@@ -32,7 +32,7 @@
 
 
 class EntryService(Service):
-    """Runs the caller-facing port.
+    """Runs the callers' port.
 
     The services `router` and `control` must be registered in the kernel.
 
--- a/endivesill/fleet/departures.py
+++ b/endivesill/fleet/departures.py
@@ -99,7 +99,7 @@
         self._unconfirmed &= incarnations
 
     def _needs_check(self, engine: EngineInfo) -> bool:
-        """Tell whether a check can add to what the list shows."""
+        """Return whether a check can add to what the list shows."""
         return not engine.is_draining or engine.incarnation in self.leaving()
 
     async def _check(self, engine: EngineInfo) -> None:
--- a/endivesill/fleet/engine_list.py
+++ b/endivesill/fleet/engine_list.py
@@ -168,7 +168,7 @@
 
 
 def _comparable(engines: dict[str, EngineInfo]) -> dict[str, EngineInfo]:
-    """Return the engines without the remaining cold time, which changes by itself."""
+    """Return the engines without the remaining cold time, which decreases with time."""
     return {
         incarnation: attrs.evolve(engine, cold_s=1.0 if engine.cold_s > 0 else 0.0)
         for incarnation, engine in engines.items()
--- a/endivesill/fleet/sync_client.py
+++ b/endivesill/fleet/sync_client.py
@@ -145,7 +145,7 @@
         }
 
     async def deregister(self) -> None:
-        """Tell the leader that this entry stops; a failure is logged."""
+        """Notify the leader that this entry stops; a failure is logged."""
         if self.leader is None:
             return
         message = {**self._sync_request(), "leaving": True}
--- a/endivesill/fleet/sync_service.py
+++ b/endivesill/fleet/sync_service.py
@@ -79,7 +79,7 @@
             self._on_change()
 
     def leads(self) -> bool:
-        """Tell whether this VM leads, without confirmation by a quorum."""
+        """Return whether this VM leads, without confirmation by a quorum."""
         return self._replica.core.leadership is not None
 
     def _note_applied(self, applied: Applied) -> None:
--- a/endivesill/fleet_status.py
+++ b/endivesill/fleet_status.py
@@ -17,7 +17,7 @@
 
     Attributes:
       vm: the VM.
-      draining: whether it is leaving the fleet or has been told to drain.
+      draining: whether it is leaving the fleet or marked as leaving by operators.
       voter: whether it is a voter of the control group.
       may_go: whether it may be stopped now.
       reasons: why it may not be stopped; empty if it may.
@@ -38,7 +38,7 @@
     Args:
       vms: the VMs of the membership view.
       voters: the names of the control group's voters.
-      draining: the names of the VMs that operators have told to leave.
+      draining: the names of the VMs that operators have marked as leaving.
     """
     records = sorted(vms, key=lambda vm: vm.name)
     leaving = {vm.name for vm in records if vm.state is VmState.LEAVING}
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -182,7 +182,7 @@
         return head + exchange.body
 
     def _is_response_to(self, call: Call, target: Target, head: ResponseHead) -> bool:
-        """Tell whether a response belongs to the call.
+        """Return whether a response belongs to the call.
 
         A late response to an earlier request may arrive first on a connection.
         """
--- a/endivesill/forwarding/forwarder.py
+++ b/endivesill/forwarding/forwarder.py
@@ -254,7 +254,7 @@
             overdue.cancel()
 
     def _may_rerun(self, call: Call) -> bool:
-        """Tell whether a request that has run may run again at another target.
+        """Return whether a request that has run may run again at another target.
 
         Takes one retry from the budget if so.
         """
@@ -267,7 +267,7 @@
         )
 
     def _may_resend(self, call: Call, error: AttemptError, rejections: int) -> bool:
-        """Tell whether a request without a response may be sent again.
+        """Return whether a request without a response may be sent again.
 
         Takes one retry from the budget where the target has seen the request.
         """
--- a/endivesill/forwarding/placement.py
+++ b/endivesill/forwarding/placement.py
@@ -82,7 +82,7 @@
 
 
 def has_capacity(target: Target, service: Service, demand: ResourceDemand) -> bool:
-    """Tell whether a target can take a request now.
+    """Return whether a target can take a request now.
 
     Requests beyond an engine's capacity would be queued or preempted by the engine,
     where they can no longer be placed elsewhere.
--- a/endivesill/forwarding/placement_service.py
+++ b/endivesill/forwarding/placement_service.py
@@ -50,7 +50,7 @@
       loads: the loads of all entries.
       services: returns a service of the configuration in force, or None.
       cold_bounds: factor and slack applied to the request rate of cold targets.
-      is_leader: tells whether this VM leads.
+      is_leader: returns whether this VM leads.
       random_source: breaks ties between engines and draws the jitter of Retry-After.
       new_queue: creates the queue of a service.
     """
--- a/endivesill/forwarding/run_copy.py
+++ b/endivesill/forwarding/run_copy.py
@@ -1,6 +1,6 @@
 """Copies the KV cache of a run to another engine, where the run can be resumed.
 
-The run goes on while it is copied: prefilling the few tokens that the copy lacks is
+The run continues while it is copied: prefilling the few tokens that the copy lacks is
 faster than copying them.
 """
 
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -266,7 +266,7 @@
             self._copy_task = asyncio.ensure_future(self._place_and_copy(run))
 
     def _may_end_soon(self, target: Target) -> bool:
-        """Tell whether a target may shut down before its runs have ended.
+        """Return whether a target may shut down before its runs have ended.
 
         A target that drains without notice waits for its runs, but the notice is
         visible only some time after the drain has begun.
--- a/endivesill/forwarding/targets.py
+++ b/endivesill/forwarding/targets.py
@@ -242,7 +242,7 @@
         }
 
     def accepts_requests(self, target: Target) -> bool:
-        """Tell whether new requests may be sent to a target, ejected or not."""
+        """Return whether new requests may be sent to a target, ejected or not."""
         info = target.info
         return (
             target.listed
@@ -283,13 +283,13 @@
         ]
 
     def has_targets(self, service: str) -> bool:
-        """Tell whether any target of a service accepts requests."""
+        """Return whether any target of a service accepts requests."""
         return any(map(self.accepts_requests, self._by_service.get(service, [])))
 
     # Rate limits.
 
     def may_send_now(self, target: Target, allowance: float) -> bool:
-        """Tell whether one more request stays within a limit.
+        """Return whether one more request stays within a limit.
 
         Args:
           target: where it would be sent.
--- a/endivesill/forwarding/waiting.py
+++ b/endivesill/forwarding/waiting.py
@@ -115,7 +115,7 @@
         self._last_queued_s: dict[str, float] = {}
 
     def is_congested(self, service: str) -> bool:
-        """Tell whether requests to a service were queued recently."""
+        """Return whether requests to a service were queued recently."""
         last_queued_s = self._last_queued_s.get(service, float("-inf"))
         return self._timer.now_s() - last_queued_s < CONGESTED_FOR_S
 
--- a/endivesill/http1/client.py
+++ b/endivesill/http1/client.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 client connections: one request at a time, without pipelining.
 
-A connection is reused only if its last response was complete, ended where its
-framing said, and was not followed by further bytes.
+A connection is reused only if its last response was complete, ended as its
+framing specifies, and was not followed by further bytes.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
       head: the head; None until it is complete.
       body_parts: received parts of the body that have not been read.
       buffered_bytes: total length of the body parts.
-      is_complete: whether the response has ended as its framing says.
+      is_complete: whether the response has ended as its framing specifies.
     """
 
     headers: Headers = attrs.Factory(list)
@@ -224,7 +224,7 @@
 
         Args:
           data: the encoded head and body.
-          no_body: whether the response has no body, whatever its head says (HEAD).
+          no_body: whether the response has no body, regardless of its head (HEAD).
 
         Raises:
           UpstreamError: the connection is closed; nothing was sent.
--- a/endivesill/http1/sending.py
+++ b/endivesill/http1/sending.py
@@ -1,6 +1,6 @@
 """Sends one request to one peer and reads the head of its response.
 
-Each failure says whether the request may have run, which decides whether it may be
+Each failure states whether the request may have run, which decides whether it may be
 sent again.
 """
 
@@ -72,7 +72,7 @@
       is_own_response: returns whether a response belongs to this request.
       max_foreign_responses: number of complete responses to other requests that
         are skipped.
-      no_body: whether the response has no body, whatever its head says (HEAD).
+      no_body: whether the response has no body, regardless of its head (HEAD).
 
     Returns:
       The connection, with the body of the response unread, and the head. The
--- a/endivesill/membership/service.py
+++ b/endivesill/membership/service.py
@@ -237,7 +237,7 @@
             events.emit(OWNERSHIP_TAKEN, targets=taken)
 
     def _answer_ping(self, datagram: Datagram, source: str) -> None:
-        """Acknowledge a probe; a suspected prober is told of the suspicion."""
+        """Acknowledge a probe; a suspected prober is notified of the suspicion."""
         if self._own.superseded:
             return
         sender = self.table.get(datagram.sender)
--- a/endivesill/membership/suspicion.py
+++ b/endivesill/membership/suspicion.py
@@ -25,7 +25,7 @@
       table: the member table.
       settings: the suspicion and probe timeouts.
       apply: merges an update and broadcasts it.
-      probe_again: sends a probe that tells a suspect of the suspicion.
+      probe_again: sends a probe that notifies a suspect of the suspicion.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         )
 
     def _send_last_probe(self, member: VmUpdate, remaining_s: float) -> None:
-        """Probe a suspect once more, in case its refutation was lost."""
+        """Probe a suspect again, in case its refutation was lost."""
         self._probe_again(member)
         self._timers[member.name] = self._timer.call_after(
             remaining_s, lambda: self._expire(member)
--- a/endivesill/membership/view.py
+++ b/endivesill/membership/view.py
@@ -63,7 +63,7 @@
         raise NotImplementedError
 
     def owner_of(self, target: Target) -> VmRecord | None:
-        """Return the VM that polls a target and lends its credits.
+        """Return the VM that polls a target and allocates its credits.
 
         Returns:
           None if there is no live entry.
@@ -77,8 +77,8 @@
     def owner_since_s(self, target: Target) -> float | None:
         """Return when this VM became a target's owner, on the timer's clock.
 
-        From that time until the credits lent by the previous owner have expired, a
-        owner lends from the cold-start allowance only.
+        From then until the credits allocated by the previous owner have expired, the
+        new one allocates what each entry has in flight and the cold allowance.
 
         Returns:
           Seconds on the timer's clock, or None if this VM is not the owner.
--- a/endivesill/orders/lease.py
+++ b/endivesill/orders/lease.py
@@ -1,7 +1,7 @@
 """The orderer lease, which allows one VM to issue the orders of a data centre.
 
-The holder measures its lease from before it sent the proposal that was granted. A
-VM that wants the lease reads it, waits for a full lease and a margin by its own
+The holder measures its lease from before it sent the proposal that was granted. To
+acquire the lease, another VM reads it, waits for a full lease and a margin by its own
 clock, and then takes it over only if it has not been renewed since. Clocks need not
 be synchronised, but must run at nearly the same rate, also while a VM is suspended.
 """
--- a/endivesill/orders/plan.py
+++ b/endivesill/orders/plan.py
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Decision:
-    """An order that placement wants to issue, with its reason.
+    """An order that placement has decided to issue, with its reason.
 
     Attributes:
       target: the name of the engine.
--- a/endivesill/platform/health.py
+++ b/endivesill/platform/health.py
@@ -18,11 +18,11 @@
 
 
 def decode_health(head: ResponseHead, engine: EngineInfo) -> bool:
-    """Return whether the response to a health check says that the engine is healthy.
+    """Return whether the response to a health check reports the engine as healthy.
 
     Raises:
-      UnavailableError: another instance answered, or the status does not tell:
-        it is neither 200 nor 503, or a 503 because the queue is full.
+      UnavailableError: another instance answered, or the status is inconclusive:
+        neither 200 nor 503, or a 503 because the queue is full.
     """
     identity = head.header(wire.INSTANCE_ID).decode("latin-1")
     if identity and identity != engine.identity:
--- a/endivesill/routing/accounts.py
+++ b/endivesill/routing/accounts.py
@@ -21,7 +21,7 @@
     Attributes:
       slots: requests that the entry has in flight at the target.
       tokens: memory tokens that those requests have reserved.
-      headroom_slots: additional requests that the entry wants to be able to start.
+      headroom_slots: additional requests for which the entry requests credits.
       headroom_tokens: memory tokens that those additional requests would need.
       serial: serial of the allocation that the entry holds; 0 for none.
       median_gap_ms: median gap between output tokens; 0 if unknown.
@@ -67,7 +67,7 @@
     expires_s: float
 
     def is_larger_than(self, earlier: Allocation | None) -> bool:
-        """Tell whether it permits more slots or memory than an earlier one."""
+        """Return whether it permits more slots or memory than an earlier one."""
         if earlier is None:
             return True
         return self.slots > earlier.slots or self.tokens > earlier.tokens
@@ -154,6 +154,6 @@
     base_slots: int = 0
 
     def is_over(self, now_s: float) -> bool:
-        """Tell whether the load has ended, judged by elapsed time alone."""
+        """Return whether the load has ended, judged by elapsed time alone."""
         lifetime_s = 0.0 if self.entry_id == PREDECESSOR else RESIDUAL_LIFETIME_S
         return now_s - self.since_s >= lifetime_s
--- a/endivesill/routing/credit_client.py
+++ b/endivesill/routing/credit_client.py
@@ -154,7 +154,7 @@
             self.on_allocation(target)
 
     def report_slowdown(self, target: Target) -> None:
-        """Drop the allocation of a target suspected to be cold and tell its owner."""
+        """Drop the allocation of a target suspected to be cold and notify its owner."""
         self.drop(target)
         if self._credit_server.is_owner(target):
             self._allocate_local(target, 0.0)
--- a/endivesill/routing/credit_server.py
+++ b/endivesill/routing/credit_server.py
@@ -37,7 +37,7 @@
         all targets.
       peers: receives the credit requests of other entries; without it, only the
         entry of this VM gets credits.
-      source: tells whether this VM holds the configuration lease. An owner
+      source: reports whether this VM holds the configuration lease. An owner
         without the lease allocates nothing, so that an owner cut off by a
         network partition yields to its successor.
     """
@@ -68,7 +68,7 @@
             membership.subscribe(self._drop_lost_targets)
 
     def is_owner(self, target: Target) -> bool:
-        """Tell whether this VM owns the target."""
+        """Return whether this VM owns the target."""
         return self._membership is None or self._membership.is_owner(target)
 
     def allocator(self, target: Target) -> CreditAllocator:
--- a/endivesill/routing/credits.py
+++ b/endivesill/routing/credits.py
@@ -172,10 +172,10 @@
         return account
 
     def confirms_slowdown(self, entry_id: str, usage: Usage, now_s: float) -> bool:
-        """Record that an entry suspects a cold target; tell if that is conclusive.
+        """Record that an entry suspects a cold target; return whether confirmed.
 
-        A single entry cannot tell a cold target from a stalled network link, so
-        it takes two entries, or one that runs at least half of the load.
+        A single entry cannot distinguish a cold target from a stalled network link,
+        so it takes two entries, or one that runs at least half of the load.
         """
         running = sum(account.usage.slots for account in self._accounts.values())
         self._suspicions[entry_id] = now_s
--- a/endivesill/routing/directory.py
+++ b/endivesill/routing/directory.py
@@ -40,7 +40,7 @@
     Args:
       configuration: returns the configuration in force.
       entry_name: the name of this VM.
-      is_leaving: tells by a target's name whether the target is leaving.
+      is_leaving: returns whether the target of a given name is leaving.
       data_centre: the data centre of this VM.
     """
 
@@ -87,7 +87,7 @@
         return found
 
     def is_eligible(self, target: Target) -> bool:
-        """Tell whether a target may receive new requests."""
+        """Return whether a target may receive new requests."""
         configuration = self._configuration()
         current = configuration.targets.get(target.name)
         if current is None or not configuration.takes_new_work(current):
--- a/endivesill/routing/grant.py
+++ b/endivesill/routing/grant.py
@@ -20,7 +20,7 @@
         """Return the timer's time."""
 
     def is_valid(self, grant: RoutedGrant) -> bool:
-        """Tell whether the attempt may start now."""
+        """Return whether the attempt may start now."""
 
     def reservation_tokens(self, request: RouteRequest, produced: int) -> int:
         """Return the memory tokens to reserve after some output tokens."""
@@ -70,7 +70,7 @@
         candidate.reserved_tokens += self._reserved_tokens
 
     def may_start(self) -> bool:
-        """Tell whether the lease, the target and the credits still permit a start."""
+        """Return whether the lease, the target and the credits still permit a start."""
         return not self._finished and self._issuer.is_valid(self)
 
     def tokens(self, count: int) -> None:
--- a/endivesill/routing/messages.py
+++ b/endivesill/routing/messages.py
@@ -67,7 +67,7 @@
         self.target = target
 
     def may_start(self) -> bool:
-        """Tell whether the grant is valid; called before the first byte is sent."""
+        """Return whether the grant is valid; called before the first byte is sent."""
         return True
 
     def tokens(self, count: int) -> None:
--- a/endivesill/routing/prefixes.py
+++ b/endivesill/routing/prefixes.py
@@ -127,7 +127,7 @@
         return prefixes.sequence if prefixes else 0
 
     def needs_resync(self, target_name: str) -> bool:
-        """Tell whether events of the target are missing."""
+        """Return whether events of the target are missing."""
         prefixes = self._targets.get(target_name)
         return bool(prefixes and prefixes.is_stale)
 
--- a/endivesill/routing/router.py
+++ b/endivesill/routing/router.py
@@ -41,10 +41,10 @@
     Args:
       timer: the timer service.
       configuration: returns the configuration in force.
-      source: tells whether this VM holds the lease; None if none is needed.
+      source: reports whether this VM holds the lease; None if none is needed.
       credit_client: the entry's credits; None if this process owns all targets.
       prefixes: index of the prefixes that the targets cache.
-      is_leaving: tells by a target's name whether the target is leaving.
+      is_leaving: returns whether the target of a given name is leaving.
       entry_name: the name of this VM.
       data_centre: the data centre of this VM, whose targets are preferred.
       metrics: records refusals and the delay of their answers.
@@ -340,7 +340,7 @@
             self._serve_queue(state)
 
     def is_valid(self, grant: RoutedGrant) -> bool:
-        """Tell whether the lease, the target and the credits permit a start now."""
+        """Return whether the lease, the target and the credits permit a start now."""
         if self._source is not None and not self._source.holds_lease():
             return False
         if not self.directory.is_eligible(grant.target):
--- a/endivesill/targets/messages.py
+++ b/endivesill/targets/messages.py
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class CacheEvents:
-    """The answer to a request for cache events.
+    """The response to a request for cache events.
 
     Attributes:
       boot_id: the engine's boot id.
--- a/endivesill/targets/monitor.py
+++ b/endivesill/targets/monitor.py
@@ -60,7 +60,7 @@
         """Return the last sequence number applied; 0 if none was."""
 
     def needs_resync(self, target_name: str) -> bool:
-        """Tell whether events of the target are missing."""
+        """Return whether events of the target are missing."""
 
     def apply(self, target_name: str, events: CacheEvents) -> bool:
         """Apply events; return False if some are missing."""
@@ -87,7 +87,7 @@
       timer: the timer service.
       configuration: returns the configuration in force.
       adapter: the engine adapter.
-      is_owner: tells whether this VM owns a target.
+      is_owner: returns whether this VM owns a target.
       sink: receives load and health.
       cache: receives cache events.
     """
--- a/endivesill/targets/plain.py
+++ b/endivesill/targets/plain.py
@@ -66,7 +66,7 @@
         self.headers = end_to_end_headers(response.headers)
 
     def reports_not_run(self) -> bool:
-        """Tell whether the target reports that it did not run the call."""
+        """Return whether the target reports that it did not run the call."""
         return self.status == 503 and self._response.header(RUN_HEADER) == NOT_RUN
 
     async def read(self) -> bytes:
--- a/endivesill/targets/tokens.py
+++ b/endivesill/targets/tokens.py
@@ -104,7 +104,7 @@
         )
 
     def _is_repeated(self, data: bytes, position: int, index: int) -> bool:
-        """Tell whether an event is a token that has already been forwarded."""
+        """Return whether an event is a token that has already been forwarded."""
         if not data.startswith(self._id_prefix, position) or index > self.next_index:
             return False
         start = position + len(self._id_prefix)
--- a/tests/test_forwarding_streams.py
+++ b/tests/test_forwarding_streams.py
@@ -103,7 +103,7 @@
         return first, second, response_task
 
     def is_copied(self):
-        """Tell whether the entry has logged the end of a copy order."""
+        """Return whether the entry has logged the end of a copy order."""
         return any(name == "run-copied" for name, _ in self.lines)
 
     async def notify_until(self, condition):
