--- a/endivesill/configuration/probe.py
+++ b/endivesill/configuration/probe.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class _Answer:
+class _Response:
     sent_s: float
     newest: int
     voters: VoterSet
@@ -40,7 +40,7 @@
       transport: the peer transport.
       vm_name: the name of this VM.
       control_addresses: the control VMs of the settings, for the first probes.
-      copy: the copy of the configuration that the answers are compared with.
+      copy: the copy of the configuration that the responses are compared with.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._control_addresses = control_addresses
         self._copy = copy
         self._voters = VoterSet()
-        self._answers: dict[str, _Answer] = {}
+        self._responses: dict[str, _Response] = {}
         self._in_flight: dict[str, asyncio.Task[None]] = {}
         self._failed: set[str] = set()
         self._acks_sent: dict[str, PackedRevisions] = {}
@@ -73,14 +73,15 @@
         """Return the start of the lease, or None without a confirming majority.
 
         It is the time at which the oldest probe of the newest majority of confirming
-        answers was sent. An answer confirms if it reports nothing newer than the copy.
+        responses was sent. A response confirms if it reports nothing newer than the
+        copy.
         """
         starts = sorted(
             (
-                answer.sent_s
-                for replica_id, answer in self._answers.items()
+                response.sent_s
+                for replica_id, response in self._responses.items()
                 if replica_id in self._voters.addresses
-                and answer.newest <= self._copy.as_of
+                and response.newest <= self._copy.as_of
             ),
             reverse=True,
         )
@@ -95,7 +96,7 @@
         fails; without a hold, all replicas are probed.
 
         Args:
-          hold_s: how long the replicas may hold their answers.
+          hold_s: how long the replicas may hold their responses.
           acks: the acknowledgements to report.
         """
         started_s = self._timer.now_s()
@@ -165,7 +166,7 @@
             message["acks"] = acks
         sent_s = self._timer.now_s()
         try:
-            answer = await call_peer(
+            response = await call_peer(
                 self._transport,
                 address,
                 PROBE_PATH,
@@ -177,30 +178,30 @@
             return
         self._failed.discard(address)
         self._acks_sent[address] = acks
-        if answer.get("acks_wanted"):
+        if response.get("acks_wanted"):
             self._acks_sent.pop(address)
-        if "voters" in answer:
-            voters = VoterSet(answer["voters_index"], answer["voters"])
-        self._answers[answer["id"]] = _Answer(sent_s, answer["newest"], voters)
-        self._apply_answer(address, answer)
+        if "voters" in response:
+            voters = VoterSet(response["voters_index"], response["voters"])
+        self._responses[response["id"]] = _Response(sent_s, response["newest"], voters)
+        self._apply_response(address, response)
 
-    def _apply_answer(self, address: str, answer: Message) -> None:
+    def _apply_response(self, address: str, response: Message) -> None:
         self._voters = self._newest_voters()
-        self._copy.confirm(answer["revision"], answer["applied"])
-        if answer["revision"] > self._copy.revision:
+        self._copy.confirm(response["revision"], response["applied"])
+        if response["revision"] > self._copy.revision:
             self.newer_revision_address = address
 
     def _newest_voters(self) -> VoterSet:
-        """Return the newest voter set among the recent answers.
+        """Return the newest voter set among the recent responses.
 
-        A voter set that was never committed is dropped when the answers that reported
+        A voter set that was never committed is dropped when the responses that reported
         it expire.
         """
         oldest_s = self._timer.now_s() - 2 * LEASE_S
-        recent = [a for a in self._answers.values() if a.sent_s >= oldest_s]
+        recent = [a for a in self._responses.values() if a.sent_s >= oldest_s]
         if not recent:
             return self._voters
-        return max(recent, key=lambda answer: answer.voters.index).voters
+        return max(recent, key=lambda response: response.voters.index).voters
 
 
 async def call_peer(
--- a/endivesill/configuration/replica.py
+++ b/endivesill/configuration/replica.py
@@ -1,7 +1,7 @@
 """The service of a control replica that distributes the configuration to VMs.
 
 Each replica answers from its own log and state, without coordination. The
-configuration lease requires the answers of a majority.
+configuration lease requires the responses of a majority.
 """
 
 from __future__ import annotations
@@ -185,18 +185,18 @@
         if hold_s > 0 and self._current_state().last_index <= message["as_of"]:
             await self._wait_for_newer(message["as_of"], hold_s)
         voters = self._replica.voters()
-        answer = {
+        response = {
             "id": self._replica.replica_id,
             "newest": self._newest_index(),
             "applied": self._replica.applied_index(),
             "revision": self._current_state().revision,
         }
         if voters.index != message.get("voters_index"):
-            answer["voters"] = voters.addresses
-            answer["voters_index"] = voters.index
+            response["voters"] = voters.addresses
+            response["voters_index"] = voters.index
         if not has_acks:
-            answer["acks_wanted"] = True
-        return answer
+            response["acks_wanted"] = True
+        return response
 
     async def _wait_for_newer(self, as_of: int, hold_s: float) -> None:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/endivesill/configuration/watcher.py
+++ b/endivesill/configuration/watcher.py
@@ -60,7 +60,7 @@
 
 @attrs.frozen(eq=False)
 class _Child:
-    """A child's request that waits for its answer."""
+    """A child's request that waits for its response."""
 
     vm: str
     revision: int
@@ -231,20 +231,20 @@
         sent_s = self._timer.now_s()
         timeout_s = self._lease_left_s() - DIRECT_PROBE_RESERVE_S
         try:
-            answer = await call_peer(
+            response = await call_peer(
                 self._transport, parent, WATCH_PATH, message, timeout_s
             )
         except errors.PeerUnreachableError as error:
             events.emit(UPSTREAM_FAILED, upstream=parent, error=str(error))
             self._parent_bypassed_until_s = self._timer.now_s() + PARENT_BYPASS_S
             return None
-        self._acks_sent = None if answer.get("acks_wanted") else (parent, acks)
-        if "delta" in answer:
-            self._apply(answer["delta"])
-        self._copy.confirm(answer["revision"], answer["as_of"])
-        if answer["revision"] > self._copy.revision:
+        self._acks_sent = None if response.get("acks_wanted") else (parent, acks)
+        if "delta" in response:
+            self._apply(response["delta"])
+        self._copy.confirm(response["revision"], response["as_of"])
+        if response["revision"] > self._copy.revision:
             await self._fetch(parent, WATCH_DELTA_PATH, WATCH_PAGE_PATH)
-        if not answer["lease"] or self._copy.as_of < answer["as_of"]:
+        if not response["lease"] or self._copy.as_of < response["as_of"]:
             return None
         self._extend_lease(sent_s)
         return sent_s
@@ -355,25 +355,25 @@
 
     async def _handle_watch(self, message: Message) -> Message:
         if self._stopped:
-            return self._stopped_answer()
+            return self._stopped_response()
         has_acks = self._acknowledgements.report(message["vm"], message.get("acks"))
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         child = _Child(message["vm"], message["revision"], future)
         self._waiting_children.append(child)
         self._child_arrived.set()
-        answer = await future
+        response = await future
         if not has_acks:
-            answer["acks_wanted"] = True
-        return answer
+            response["acks_wanted"] = True
+        return response
 
-    def _stopped_answer(self) -> Message:
-        """Return an answer without a lease and without a newer revision."""
+    def _stopped_response(self) -> Message:
+        """Return a response without a lease and without a newer revision."""
         return {"lease": False, "revision": 0, "as_of": 0}
 
     def _answer_children(self, children: list[_Child], *, lease: bool) -> None:
         for child in children:
             if not child.future.done():
-                child.future.set_result(self._child_answer(child, lease))
+                child.future.set_result(self._child_response(child, lease))
 
     def _answer_outdated_children(self) -> None:
         """Answer at once waiting children that have an older revision.
@@ -389,8 +389,8 @@
         ]
         self._answer_children(outdated, lease=False)
 
-    def _child_answer(self, child: _Child, lease: bool) -> Message:
-        answer: Message = {
+    def _child_response(self, child: _Child, lease: bool) -> Message:
+        response: Message = {
             "lease": lease,
             "revision": self._copy.revision,
             "as_of": self._copy.as_of,
@@ -398,8 +398,8 @@
         if child.revision < self._copy.revision:
             delta = self._copy.delta_since(child.revision)
             if delta is not None:
-                answer["delta"] = delta
-        return answer
+                response["delta"] = delta
+        return response
 
     async def _handle_delta(self, message: Message) -> Message:
         return self._copy.delta_since(message["since"]) or {"full": True}
