--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -109,7 +109,7 @@
             deadline_s=DEADLINE_S,
             queue_limit=plan.queue_limit,
         )
-        self.spec = EngineSpec(cold_bears=COLD_SLOTS)
+        self.spec = EngineSpec(cold_slots=COLD_SLOTS)
         self.organisations = [
             Organisation(f"o{i}", key_sha256="0" * 64) for i in range(10)
         ]
@@ -212,7 +212,7 @@
                 self.results.completed += is_measured
                 return
             excluded.add(grant.target.name)
-            if attempt.sequence.produced:
+            if attempt.sequence.generated_tokens:
                 break
         self.results.broken += is_measured
 
@@ -223,10 +223,10 @@
     def record_cold_start(self, target: Target) -> None:
         """Record how far a start on a cold engine exceeds the target's allowance."""
         engine = self.engines[target.name]
-        if not engine.cold_left or self.plan.policy != "credit":
+        if not engine.warm_up_remaining or self.plan.policy != "credit":
             return
         max_slots = self.allowance_slots(target)
-        excess = engine.cold_running() + 1 - max_slots
+        excess = engine.count_cold_started() + 1 - max_slots
         self.results.cold_excess = max(self.results.cold_excess, excess)
 
     def record_gap(self, gap_s: float) -> None:
@@ -257,11 +257,11 @@
         end_s = WARM_UP_S + 0.5 * measurement_s
         faults: dict[str, list[tuple[float, Callable[[], None]]]] = {
             "": [],
-            "turns-cold": [(begin_s, first_engine.turn_cold)],
-            "dies": [(begin_s, first_engine.die), (end_s, first_engine.revive)],
+            "turns-cold": [(begin_s, first_engine.reset_to_cold)],
+            "dies": [(begin_s, first_engine.crash), (end_s, first_engine.restart)],
             "data-centre": [
                 (begin_s, lambda: self._set_taken_out(True)),
-                (end_s - 1.0, self._turn_taken_out_cold),
+                (end_s - 1.0, self._reset_taken_out_to_cold),
                 (end_s, lambda: self._set_taken_out(False)),
             ],
         }
@@ -271,10 +271,10 @@
     def _set_taken_out(self, taken_out: bool) -> None:
         self.configuration = self._make_configuration(taken_out)
 
-    def _turn_taken_out_cold(self) -> None:
+    def _reset_taken_out_to_cold(self) -> None:
         for target in self.configuration.targets.values():
             if self.is_taken_out(target):
-                self.engines[target.name].turn_cold()
+                self.engines[target.name].reset_to_cold()
 
 
 class Attempt:
