--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -77,11 +77,11 @@
     def __init__(self, targets: list[str], *, logs: bool) -> None:
         timer = SystemTimer()
         transport = MemoryNetwork(timer).transport("entry")
-        follower = FleetSyncClient(timer, transport, (), dict, lambda news: None)
-        table = TargetTable(timer, follower.view, "a")
+        sync_client = FleetSyncClient(timer, transport, (), dict, lambda updates: None)
+        table = TargetTable(timer, sync_client.view, "a")
         for number, address in enumerate(targets):
             identity = f"t{number}"
-            follower.view.engines[identity] = EngineInfo(
+            sync_client.view.engines[identity] = EngineInfo(
                 identity, identity, "app", address, "a", 100, False, 0.0
             )
         table.update_engines()
@@ -96,7 +96,7 @@
             timer,
             table,
             admission,
-            Placer(timer, table, admission, follower, transport),
+            Placer(timer, table, admission, sync_client, transport),
             RetryBudget(timer, 0.2, 50, 10.0, lambda: 1.0),
             ConnectionPool(timer, 0.5, 3.0),
             PlatformProtocol(),
@@ -158,7 +158,7 @@
         head = await connection.head()
         await connection.read_all()
         assert head.status == 200, head
-        connection.end()
+        connection.end_exchange()
         count += 1
     connection.abort()
     return count
--- a/bench/platform_soak_callers.py
+++ b/bench/platform_soak_callers.py
@@ -115,7 +115,7 @@
                 )
             except (UpstreamError, errors.DeadlineExceededError):
                 # No complete response: the record keeps status 0.
-                pool.forget(proxy.address)
+                pool.close_idle(proxy.address)
             record.ended_s = self._timer.now_s()
             await self._timer.sleep(CALL_PAUSE_S)
 
--- a/bench/platform_soak_targets.py
+++ b/bench/platform_soak_targets.py
@@ -159,7 +159,7 @@
             200, [attempt_header, SEAL, (b"Content-Type", b"text/event-stream")]
         )
         for number in range(1, EVENTS_PER_STREAM + 1):
-            if exchange.gone.is_set():
+            if exchange.disconnected.is_set():
                 return
             exchange.send(_event(attempt, number))
             await asyncio.sleep(EVENT_INTERVAL_S)
--- a/endivesill/forwarding/attempt.py
+++ b/endivesill/forwarding/attempt.py
@@ -55,7 +55,7 @@
     SendFailure.NO_CONNECTION: Failure.NO_CONNECTION,
     SendFailure.NOT_STARTED: Failure.TARGET_LEFT,
     SendFailure.BROKEN: Failure.BROKEN,
-    SendFailure.FOREIGN_ANSWER: Failure.FOREIGN_ANSWER,
+    SendFailure.FOREIGN_RESPONSE: Failure.FOREIGN_ANSWER,
 }
 
 
@@ -138,14 +138,12 @@
                 self._pool,
                 target.info.address,
                 lambda: self._encode(call, target, backup, resume_from, last_event_id),
-                longest_idle_s=None
-                if call.is_idempotent
-                else NON_IDEMPOTENT_MAX_IDLE_S,
+                max_idle_s=None if call.is_idempotent else NON_IDEMPOTENT_MAX_IDLE_S,
                 # The target may have left the list during connection set-up.
                 may_start=lambda: self._table.accepts_requests(target),
-                started=call.note_sent,
-                belongs=lambda head: self._is_response_to(call, target, head),
-                foreign_limit=MAX_SKIPPED_RESPONSES,
+                on_started=call.note_sent,
+                is_own_response=lambda head: self._is_response_to(call, target, head),
+                max_foreign_responses=MAX_SKIPPED_RESPONSES,
                 no_body=call.exchange.method == "HEAD",
             )
         except SendError as error:
--- a/endivesill/forwarding/streams.py
+++ b/endivesill/forwarding/streams.py
@@ -156,7 +156,7 @@
         Raises:
           StreamBrokenError: the caller has received part of a stream already.
         """
-        if self._call.exchange.answered:
+        if self._call.exchange.head_sent:
             self._pool.release(attempt.connection)
             raise StreamBrokenError(f"status {attempt.response.status} on a resume")
         return attempt
@@ -291,7 +291,7 @@
 
     async def _relay(self, run: _Run, attempt: Attempt) -> None:
         exchange = self._call.exchange
-        if not exchange.answered:
+        if not exchange.head_sent:
             exchange.start(200, strip_hop_by_hop(attempt.head.headers))
         splitter = EventSplitter()
         while data := await attempt.connection.read():
--- a/endivesill/link_peers.py
+++ b/endivesill/link_peers.py
@@ -81,7 +81,7 @@
             return
         task = asyncio.current_task()
         if task is not None and path in self._cancel_on_disconnect_paths:
-            exchange.on_gone = task.cancel
+            exchange.on_disconnect = task.cancel
         try:
             response = await handler(message)
         except Exception as error:
