--- a/tests/test_forwarding_placer.py
+++ b/tests/test_forwarding_placer.py
@@ -27,7 +27,7 @@
         self.table = make_table(self.timer, engine("e1"), engine("p1", "app"))
         transport = self.network.transport("10.0.2.1:7000")
         self.sync_client = FleetSyncClient(
-            self.timer, transport, (LEADER,), self.table.own_loads, lambda news: None
+            self.timer, transport, (LEADER,), self.table.own_loads, lambda updates: None
         )
         self.sync_client.leader = LEADER
         admission = AdmissionQueue(
