--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -261,7 +261,7 @@
             "dies": [(begin_s, first_engine.crash), (end_s, first_engine.restart)],
             "data-centre": [
                 (begin_s, lambda: self._set_taken_out(True)),
-                (end_s - 1.0, self._turn_taken_out_cold),
+                (end_s - 1.0, self._reset_taken_out_to_cold),
                 (end_s, lambda: self._set_taken_out(False)),
             ],
         }
@@ -271,7 +271,7 @@
     def _set_taken_out(self, taken_out: bool) -> None:
         self.configuration = self._make_configuration(taken_out)
 
-    def _turn_taken_out_cold(self) -> None:
+    def _reset_taken_out_to_cold(self) -> None:
         for target in self.configuration.targets.values():
             if self.is_taken_out(target):
                 self.engines[target.name].reset_to_cold()
