--- a/endivesill/configuration/watcher.py
+++ b/endivesill/configuration/watcher.py
@@ -100,20 +100,18 @@
         self._probe = MajorityProbe(
             kernel.timer, transport, vm_name, control_addresses, self._copy
         )
-        self._acknowledgements = Acknowledgements(
-            kernel.timer, ACKNOWLEDGEMENT_RETENTION_S
-        )
+        self._child_acks = Acknowledgements(kernel.timer, ACKNOWLEDGEMENT_RETENTION_S)
         self._acks_sent: tuple[str, PackedRevisions] | None = None
         self._lease_start_s = float("-inf")
         self._logged_lease = False
-        self._has_new_revision = False
+        self._revised = False
         self._stopped = False
         self._parent_bypassed_until_s = 0.0
-        self._waiting_children: list[_Child] = []
+        self._waiting: list[_Child] = []
         self._expected_children: set[str] = set()
         self._child_arrived = asyncio.Event()
         self._save_task: asyncio.Task[None] | None = None
-        self._write_task: asyncio.Future[None] | None = None
+        self._write: asyncio.Future[None] | None = None
         self._saved_revision = 0
         self._task: asyncio.Task[None] | None = None
         transport.handle(WATCH_PATH, self._handle_watch)
@@ -148,13 +146,13 @@
             await asyncio.gather(self._task, return_exceptions=True)
         self._probe.close()
         self._stopped = True
-        self._answer_children(self._waiting_children, lease=False)
+        self._answer_children(self._waiting, lease=False)
         await self._save_on_stop()
 
     async def _run(self) -> None:
         while True:
             await self._wait_for_children()
-            children, self._waiting_children = self._waiting_children, []
+            children, self._waiting = self._waiting, []
             self._expected_children = {child.vm for child in children}
             revision = self._copy.revision
             started_s = self._timer.now_s()
@@ -163,17 +161,17 @@
             finally:
                 confirmed = self._lease_start_s >= started_s
                 self._answer_children(children, lease=confirmed)
-            self._has_new_revision = self._copy.revision > revision
-            if self._has_new_revision:
+            self._revised = self._copy.revision > revision
+            if self._revised:
                 self._answer_outdated_children()
             self._log_lease_change()
-            if lease_start_s is None and not self._has_new_revision:
+            if lease_start_s is None and not self._revised:
                 await self._timer.sleep(RETRY_DELAY_S)
 
     async def _wait_for_children(self) -> None:
         """Wait until the children of the last round have sent their next requests."""
         deadline_s = self._timer.now_s() + CHILD_WAIT_S
-        while self._expected_children - {child.vm for child in self._waiting_children}:
+        while self._expected_children - {child.vm for child in self._waiting}:
             left_s = deadline_s - self._timer.now_s()
             if left_s <= 0:
                 return
@@ -204,10 +202,7 @@
         return None if parent is None else parent.address
 
     async def _renew_from_replicas(self) -> float | None:
-        can_hold = (
-            not self._has_new_revision
-            and self._lease_left_s() > DIRECT_PROBE_THRESHOLD_S
-        )
+        can_hold = not self._revised and self._lease_left_s() > DIRECT_PROBE_THRESHOLD_S
         hold_s = MAX_HOLD_S if can_hold else 0.0
         started_s = self._timer.now_s()
         await self._probe.run_round(hold_s, self._acks())
@@ -323,16 +318,14 @@
         while self._saved_revision < self._copy.revision:
             await self._timer.sleep(SAVE_DELAY_S)
             snapshot = self._copy.snapshot()
-            self._write_task = asyncio.ensure_future(
-                asyncio.to_thread(file.save, snapshot)
-            )
-            await asyncio.wait([self._write_task])
+            self._write = asyncio.ensure_future(asyncio.to_thread(file.save, snapshot))
+            await asyncio.wait([self._write])
             self._on_saved(snapshot.revision)
         self._save_task = None
 
     def _on_saved(self, revision: int) -> None:
         self._saved_revision = revision
-        error = self._write_task.exception() if self._write_task else None
+        error = self._write.exception() if self._write else None
         if error is not None:
             events.emit(COPY_NOT_KEPT, revision=revision, error=str(error))
 
@@ -341,25 +334,25 @@
         if self._file is None or self._save_task is None:
             return
         self._save_task.cancel()
-        if self._write_task is not None:
-            await asyncio.wait([self._write_task])
+        if self._write is not None:
+            await asyncio.wait([self._write])
         try:
             self._file.save(self._copy.snapshot())
         except OSError as error:
             events.emit(COPY_NOT_KEPT, revision=self._copy.revision, error=str(error))
 
     def _acks(self) -> PackedRevisions:
-        revisions = self._acknowledgements.revisions()
+        revisions = self._child_acks.revisions()
         revisions[self._vm_name] = self._copy.revision
         return pack_revisions(revisions)
 
     async def _handle_watch(self, message: Message) -> Message:
         if self._stopped:
             return self._stopped_response()
-        has_acks = self._acknowledgements.report(message["vm"], message.get("acks"))
+        has_acks = self._child_acks.report(message["vm"], message.get("acks"))
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         child = _Child(message["vm"], message["revision"], future)
-        self._waiting_children.append(child)
+        self._waiting.append(child)
         self._child_arrived.set()
         response = await future
         if not has_acks:
@@ -381,12 +374,8 @@
         They arrived too late for the round and get no lease.
         """
         revision = self._copy.revision
-        outdated = [
-            child for child in self._waiting_children if child.revision < revision
-        ]
-        self._waiting_children = [
-            c for c in self._waiting_children if c.revision >= revision
-        ]
+        outdated = [child for child in self._waiting if child.revision < revision]
+        self._waiting = [c for c in self._waiting if c.revision >= revision]
         self._answer_children(outdated, lease=False)
 
     def _child_response(self, child: _Child, lease: bool) -> Message:
